--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -45,7 +45,7 @@
 {
     const auto peers = state.settings.peers_size();
     const auto drawn = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
-    const auto known = encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
+    const auto known = encoded (state, state.crashes.table().all (maxEvidencePerNotice, now), now);
     co_await tell (state, worker, state.settings.peers (drawn), known);
 }
 
@@ -61,7 +61,7 @@
     for (;;)
     {
         const auto now = SteadyClock::now();
-        auto news = state.crashes.table().takeToTell (mostEvidenceTold);
+        auto news = state.crashes.table().takeToTell (maxEvidencePerNotice);
 
         if (! news.empty())
         {
@@ -91,7 +91,7 @@
     // All routers are told directly by the one that saw a crash.
     const auto isToTell = false;
     state.crashes.hear (heard->evidence, heard->node, isToTell, now);
-    return encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
+    return encoded (state, state.crashes.table().all (maxEvidencePerNotice, now), now);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/LeadershipLoop.cpp
+++ b/modules/snowrudder_serving/duties/LeadershipLoop.cpp
@@ -115,7 +115,7 @@
 {
     while (! state.leaving)
     {
-        const auto isReader = state.sharing.members && state.news.isReader;
+        const auto isReader = state.sharing.members && state.storeUpdates.isReader;
 
         if (state.leadership.fence != 0 && isReader)
             co_await renewAndRest (state, store);
--- a/modules/snowrudder_serving/limits/QuotaSharing.cpp
+++ b/modules/snowrudder_serving/limits/QuotaSharing.cpp
@@ -25,7 +25,7 @@
 auto hearsNearlyAll (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
 {
     const auto others = static_cast<double> (countMembers (sharing) - 1);
-    return sharing.members && static_cast<double> (peers.countHeard (now)) >= nearlyAll * others;
+    return sharing.members && static_cast<double> (peers.countRecentNodes (now)) >= nearlyAll * others;
 }
 
 } // namespace
@@ -38,7 +38,7 @@
 auto quotaShare (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> double
 {
     const auto members = countMembers (sharing);
-    return 2 * peers.countHeard (now) >= members - 1 ? 1.0 : 1.0 / static_cast<double> (members);
+    return 2 * peers.countRecentNodes (now) >= members - 1 ? 1.0 : 1.0 / static_cast<double> (members);
 }
 
 auto unsettledTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration
@@ -78,7 +78,7 @@
 auto askedOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
 {
     auto asked = peers.asked (now);
-    const auto heard = std::max<std::size_t> (peers.countHeard (now), 1);
+    const auto heard = std::max<std::size_t> (peers.countRecentNodes (now), 1);
     const auto others = std::max (countMembers (sharing), heard + 1) - 1;
 
     for (auto& [account, tokensPerSecond] : asked)
--- a/modules/snowrudder_serving/members/CrashNotice.h
+++ b/modules/snowrudder_serving/members/CrashNotice.h
@@ -16,6 +16,6 @@
 };
 
 /** Requests in one notice: with all their crashes they fit into a datagram. */
-inline constexpr auto mostEvidenceTold = std::size_t { 24 };
+inline constexpr auto maxEvidencePerNotice = std::size_t { 24 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/DatagramCodec.cpp
+++ b/modules/snowrudder_serving/members/DatagramCodec.cpp
@@ -112,31 +112,31 @@
     }
 }
 
-auto write (const NewsQuestion& question, schema::NewsQuestion& message) -> void
+auto write (const StoreUpdateQuery& query, schema::NewsQuestion& message) -> void
 {
-    message.set_node (question.node);
-    message.set_number (question.number);
-    message.set_directory_revision (question.directoryRevision);
-    write (question.loads, *message.mutable_loads());
+    message.set_node (query.node);
+    message.set_number (query.number);
+    message.set_directory_revision (query.directoryRevision);
+    write (query.loads, *message.mutable_loads());
 }
 
-auto write (const NewsAnswer& answer, TimePoint now, schema::NewsAnswer& message) -> void
+auto write (const StoreUpdateResponse& response, TimePoint now, schema::NewsAnswer& message) -> void
 {
-    message.set_rollouts_known (answer.areRolloutsKnown);
-    writeRollouts (answer.rollouts, now, message);
-    message.set_node (answer.node);
-    message.set_number (answer.number);
-    message.set_configuration_revision (answer.configurationRevision);
-    message.set_proof_age_milliseconds (asMilliseconds (answer.proofAge));
-    message.set_directory_age_milliseconds (asMilliseconds (answer.directoryAge));
-    message.set_directory_revision (answer.changes.revision);
-    message.set_complete (answer.changes.isComplete);
-    message.set_missed_changes (answer.missedChanges);
-    message.set_members_hash (answer.membersHash);
-    message.set_keep_missing_milliseconds (asMilliseconds (answer.keepMissing));
-    write (answer.loads, *message.mutable_loads());
-
-    for (const auto& entry : answer.changes.entries)
+    message.set_rollouts_known (response.areRolloutsKnown);
+    writeRollouts (response.rollouts, now, message);
+    message.set_node (response.node);
+    message.set_number (response.number);
+    message.set_configuration_revision (response.configurationRevision);
+    message.set_proof_age_milliseconds (asMilliseconds (response.proofAge));
+    message.set_directory_age_milliseconds (asMilliseconds (response.directoryAge));
+    message.set_directory_revision (response.changes.revision);
+    message.set_complete (response.changes.isComplete);
+    message.set_missed_changes (response.missedChanges);
+    message.set_members_hash (response.membersHash);
+    message.set_keep_missing_milliseconds (asMilliseconds (response.keepMissing));
+    write (response.loads, *message.mutable_loads());
+
+    for (const auto& entry : response.changes.entries)
     {
         auto* written = message.add_entries();
         written->set_key (entry.key);
@@ -152,7 +152,7 @@
         written->set_version (entry.info.version);
     }
 
-    for (const auto& removed : answer.changes.removed)
+    for (const auto& removed : response.changes.removed)
     {
         auto* written = message.add_removed();
         written->set_key (removed.key);
@@ -326,7 +326,7 @@
     return loads;
 }
 
-auto read (const schema::NewsQuestion& message) -> NewsQuestion
+auto read (const schema::NewsQuestion& message) -> StoreUpdateQuery
 {
     return { message.node(), message.number(), message.directory_revision(), read (message.loads()) };
 }
@@ -354,44 +354,44 @@
 {
     std::vector<Rollout> rollouts;
 
-    for (const auto& told : message.rollouts())
+    for (const auto& received : message.rollouts())
     {
-        if (told.stage() > static_cast<std::uint32_t> (RolloutStage::rolledBack))
+        if (received.stage() > static_cast<std::uint32_t> (RolloutStage::rolledBack))
             continue;
 
-        rollouts.push_back ({ told.service(), told.target_version(), told.number(),
-                              std::chrono::milliseconds (told.period_milliseconds()),
-                              now - std::chrono::milliseconds (told.age_milliseconds()),
-                              static_cast<RolloutStage> (told.stage()) });
+        rollouts.push_back ({ received.service(), received.target_version(), received.number(),
+                              std::chrono::milliseconds (received.period_milliseconds()),
+                              now - std::chrono::milliseconds (received.age_milliseconds()),
+                              static_cast<RolloutStage> (received.stage()) });
     }
 
     return rollouts;
 }
 
-auto read (const schema::NewsAnswer& message, TimePoint now) -> NewsAnswer
+auto read (const schema::NewsAnswer& message, TimePoint now) -> StoreUpdateResponse
 {
-    NewsAnswer answer;
-    answer.rollouts = readRollouts (message, now);
-    answer.areRolloutsKnown = message.rollouts_known();
-    answer.node = message.node();
-    answer.number = message.number();
-    answer.configurationRevision = message.configuration_revision();
-    answer.proofAge = std::chrono::milliseconds (message.proof_age_milliseconds());
-    answer.directoryAge = std::chrono::milliseconds (message.directory_age_milliseconds());
-    answer.changes.revision = message.directory_revision();
-    answer.changes.isComplete = message.complete();
-    answer.missedChanges = message.missed_changes();
-    answer.membersHash = message.members_hash();
-    answer.keepMissing = std::chrono::milliseconds (message.keep_missing_milliseconds());
-    answer.loads = read (message.loads());
+    StoreUpdateResponse response;
+    response.rollouts = readRollouts (message, now);
+    response.areRolloutsKnown = message.rollouts_known();
+    response.node = message.node();
+    response.number = message.number();
+    response.configurationRevision = message.configuration_revision();
+    response.proofAge = std::chrono::milliseconds (message.proof_age_milliseconds());
+    response.directoryAge = std::chrono::milliseconds (message.directory_age_milliseconds());
+    response.changes.revision = message.directory_revision();
+    response.changes.isComplete = message.complete();
+    response.missedChanges = message.missed_changes();
+    response.membersHash = message.members_hash();
+    response.keepMissing = std::chrono::milliseconds (message.keep_missing_milliseconds());
+    response.loads = read (message.loads());
 
     for (const auto& entry : message.entries())
-        answer.changes.entries.push_back (read (entry));
+        response.changes.entries.push_back (read (entry));
 
     for (const auto& removed : message.removed())
-        answer.changes.removed.push_back ({ removed.key(), { removed.revision(), removed.unreadable() } });
+        response.changes.removed.push_back ({ removed.key(), { removed.revision(), removed.unreadable() } });
 
-    return answer;
+    return response;
 }
 
 } // namespace
@@ -419,10 +419,10 @@
 
     if (const auto* report = std::get_if<PeerReport> (&message))
         write (*report, *datagram.mutable_report());
-    else if (const auto* question = std::get_if<NewsQuestion> (&message))
-        write (*question, *datagram.mutable_question());
-    else if (const auto* answer = std::get_if<NewsAnswer> (&message))
-        write (*answer, now, *datagram.mutable_answer());
+    else if (const auto* query = std::get_if<StoreUpdateQuery> (&message))
+        write (*query, *datagram.mutable_question());
+    else if (const auto* response = std::get_if<StoreUpdateResponse> (&message))
+        write (*response, now, *datagram.mutable_answer());
     else if (const auto* prompt = std::get_if<PromptNotice> (&message))
         write (*prompt, *datagram.mutable_prompt());
     else if (const auto* usage = std::get_if<UsageNotice> (&message))
@@ -439,7 +439,7 @@
 auto decodeMessage (std::string_view datagram, std::string_view secret, TimePoint now)
     -> std::optional<NodeMessage>
 {
-    if (datagram.size() < digestLength || datagram.size() > largestDatagram)
+    if (datagram.size() < digestLength || datagram.size() > maxDatagramSize)
         return {};
 
     const auto text = datagram.substr (digestLength);
--- a/modules/snowrudder_serving/members/DatagramCodec.h
+++ b/modules/snowrudder_serving/members/DatagramCodec.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "CrashNotice.h"
-#include "News.h"
+#include "StoreUpdates.h"
 #include "PeerReport.h"
 #include "UsageNotice.h"
 
@@ -16,11 +16,11 @@
 /** The largest datagram that is sent or taken: what one Ethernet frame carries, less the headers of IP and UDP, times a
     few fragments.
 */
-inline constexpr auto largestDatagram = std::size_t { 8 * 1024 };
+inline constexpr auto maxDatagramSize = std::size_t { 8 * 1024 };
 
 /** What nodes tell each other directly. */
 using NodeMessage =
-    std::variant<PeerReport, NewsQuestion, NewsAnswer, LoadNotice, PromptNotice, UsageNotice, CrashNotice>;
+    std::variant<PeerReport, StoreUpdateQuery, StoreUpdateResponse, LoadNotice, PromptNotice, UsageNotice, CrashNotice>;
 
 /** @returns a notice of crashes as bytes. Times are told as ages, which count from `now`. */
 auto encodeCrashes (const CrashNotice& notice, TimePoint now) -> std::string;
--- a/modules/snowrudder_serving/members/Membership.cpp
+++ b/modules/snowrudder_serving/members/Membership.cpp
@@ -37,7 +37,7 @@
 {
 }
 
-auto Membership::lookForOthers() -> Task<void>
+auto Membership::listOthersIfNone() -> Task<void>
 {
     if (! endpointsOfOthers.empty())
         co_return;
@@ -45,7 +45,7 @@
     const auto listed = co_await store.list (std::string (memberPrefix), ReadAge::newest);
 
     if (listed.outcome == StoreOutcome::done)
-        takeMembers (listed.items);
+        applyMembers (listed.items);
 }
 
 auto Membership::leave() -> Task<void>
@@ -68,7 +68,7 @@
 auto Membership::refresh() -> Task<bool>
 {
     if (state.fleetSecret.empty())
-        co_await readShared();
+        co_await readSharedKeys();
 
     if (state.fleetSecret.empty())
         co_await agreeOnSecret();
@@ -79,7 +79,7 @@
     if (! state.leaving)
         co_await joinMembers();
 
-    if (! mustListMembers (state.news, SteadyClock::now()))
+    if (! mustListMembers (state.storeUpdates, SteadyClock::now()))
     {
         co_await pauseFor (state.loop, listPause());
         co_return true;
@@ -90,7 +90,7 @@
     if (listed.outcome != StoreOutcome::done)
         co_return false;
 
-    takeMembers (listed.items);
+    applyMembers (listed.items);
     co_await pauseFor (state.loop, listPause());
     co_return true;
 }
@@ -104,7 +104,7 @@
 /** Learns by one call, which may tell what was seconds ago, what the other nodes agreed on and who they are: a node that comes
     back need not write to find the secret. One that finds nobody may only be early: it goes by what it lists once it has joined.
 */
-auto Membership::readShared() -> Task<void>
+auto Membership::readSharedKeys() -> Task<void>
 {
     const auto listed = co_await store.list (std::string (sharedPrefix), ReadAge::secondsOld);
 
@@ -128,14 +128,14 @@
     }
 
     if (! members.empty())
-        takeMembers (members);
+        applyMembers (members);
 }
 
 auto Membership::ownEntry() const -> StoredItem
 {
     StoredItem item;
     item.key = std::string (memberPrefix) + state.settings.node;
-    item.value = writeMember ({ state.settings.listenPeers, state.settings.failureDomain });
+    item.value = formatMember ({ state.settings.listenPeers, state.settings.failureDomain });
     return item;
 }
 
@@ -196,7 +196,7 @@
     LogLine ("membership_joined").with ("lease", lease).info();
 }
 
-auto Membership::takeMembers (const std::vector<StoredItem>& listed) -> void
+auto Membership::applyMembers (const std::vector<StoredItem>& listed) -> void
 {
     std::map<std::string, MemberInfo> members;
     std::map<std::string, Endpoint> endpoints;
@@ -208,7 +208,7 @@
     {
         hash = hashBytes (item.value, hashBytes (item.key, hash));
         const auto name = item.key.substr (memberPrefix.size());
-        auto member = readMember (item.value);
+        auto member = parseMember (item.value);
         const auto endpoint = datagramEndpoint (member.endpoint);
 
         if (name == state.settings.node || ! endpoint)
@@ -221,7 +221,7 @@
     if (members.size() != state.memberCount())
         LogLine ("members_changed").with ("before", state.memberCount()).with ("now", members.size()).info();
 
-    state.news.membersHash = hash;
+    state.storeUpdates.membersHash = hash;
     endpointsOfOthers.clear();
 
     for (const auto& [name, endpoint] : endpoints)
@@ -229,10 +229,10 @@
 
     state.sharing.members = members.size();
     state.retryBudgets.setMostSaved (state.savedRetries());
-    noteReaders (members, endpoints);
+    updateReaders (members, endpoints);
 }
 
-auto Membership::noteReaders (const std::map<std::string, MemberInfo>& members,
+auto Membership::updateReaders (const std::map<std::string, MemberInfo>& members,
                               const std::map<std::string, Endpoint>& endpoints) -> void
 {
     readersOfDomain.clear();
@@ -254,13 +254,13 @@
             std::ranges::find (readersOfDomain, endpoint) == readersOfDomain.end())
             membersOfDomain.push_back (endpoint);
 
-    if (isReader != state.news.isReader)
+    if (isReader != state.storeUpdates.isReader)
         LogLine (isReader ? "store_reader" : "store_read_by_others")
             .with ("readers", readersOfDomain.size())
             .with ("members", members.size())
             .info();
 
-    state.news.isReader = isReader;
+    state.storeUpdates.isReader = isReader;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/Membership.h
+++ b/modules/snowrudder_serving/members/Membership.h
@@ -35,7 +35,7 @@
     auto follow() -> Task<void>;
 
     /** Lists the others once where this node knows none: one may have started since it last looked. */
-    auto lookForOthers() -> Task<void>;
+    auto listOthersIfNone() -> Task<void>;
 
     /** Takes this node out of the members. */
     auto leave() -> Task<void>;
@@ -55,14 +55,14 @@
 
 private:
     auto refresh() -> Task<bool>;
-    auto readShared() -> Task<void>;
+    auto readSharedKeys() -> Task<void>;
     auto agreeOnSecret() -> Task<void>;
     auto joinMembers() -> Task<void>;
     /** @returns the item of the store that names this node, without its lease. */
     [[nodiscard]] auto ownEntry() const -> StoredItem;
-    auto takeMembers (const std::vector<StoredItem>& listed) -> void;
+    auto applyMembers (const std::vector<StoredItem>& listed) -> void;
     [[nodiscard]] auto listPause() const -> Duration;
-    auto noteReaders (const std::map<std::string, MemberInfo>& members,
+    auto updateReaders (const std::map<std::string, MemberInfo>& members,
                       const std::map<std::string, Endpoint>& endpoints) -> void;
 
     ServingState& state;
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -14,15 +14,15 @@
 /** How often a node that has just started looks whether it knows the others; one that knows none by then has none, or can't
     reach the store.
 */
-constexpr auto greetingInterval = 20ms;
+constexpr auto firstReportInterval = 20ms;
 
 /** How often loads of replicas are told and news are asked for: a replica of a model begins four requests a second. */
-constexpr auto newsInterval = 200ms;
+constexpr auto storeUpdateInterval = 200ms;
 
 /** A window's counts are told by the readers to each other for as long as it is open and this much longer: a holder of the
     duty has them by then, also where a notice was lost.
 */
-constexpr auto keepTellingUsage = Duration (5s);
+constexpr auto usageResendTime = Duration (5s);
 
 /** Between two tellings of crashes. What is new is told at once and then twice more: evidence must be everywhere before a request
     is stopped, also where datagrams are lost.
@@ -44,9 +44,9 @@
 }
 
 /** @returns a message of all that is known of crashes; empty where nothing is. */
-auto allCrashes (ServingState& state, const Membership& membership, TimePoint now) -> std::string
+auto encodeAllCrashes (ServingState& state, const Membership& membership, TimePoint now) -> std::string
 {
-    const CrashNotice notice { state.settings.node, state.crashes.table().all (mostEvidenceTold, now) };
+    const CrashNotice notice { state.settings.node, state.crashes.table().all (maxEvidencePerNotice, now) };
     return notice.evidence.empty() ? std::string() : encodeMessage (notice, membership.secret(), now);
 }
 
@@ -78,7 +78,7 @@
 
     asio::co_spawn (state.loop, receiveLoop(), asio::detached);
     asio::co_spawn (state.loop, sendLoop(), asio::detached);
-    asio::co_spawn (state.loop, newsLoop(), asio::detached);
+    asio::co_spawn (state.loop, storeUpdateLoop(), asio::detached);
     asio::co_spawn (state.loop, usageLoop(), asio::detached);
     asio::co_spawn (state.loop, crashLoop(), asio::detached);
     return {};
@@ -101,7 +101,7 @@
 
 auto PeerExchange::receiveLoop() -> Task<void>
 {
-    std::array<char, largestDatagram> datagram;
+    std::array<char, maxDatagramSize> datagram;
     Endpoint sender;
 
     for (;;)
@@ -120,11 +120,11 @@
         if (! message)
             state.metrics.counter ("snowrudder_strange_datagrams_total").add();
         else if (auto* report = std::get_if<PeerReport> (&*message))
-            take (std::move (*report), sender);
-        else if (const auto* question = std::get_if<NewsQuestion> (&*message))
-            answer (*question, sender);
-        else if (auto* told = std::get_if<NewsAnswer> (&*message))
-            take (std::move (*told));
+            handle (std::move (*report), sender);
+        else if (const auto* query = std::get_if<StoreUpdateQuery> (&*message))
+            respond (*query, sender);
+        else if (auto* response = std::get_if<StoreUpdateResponse> (&*message))
+            handle (std::move (*response));
         else if (const auto* prompt = std::get_if<PromptNotice> (&*message))
             state.replicas.notePromptHeard (prompt->replica, prompt->tokens, SteadyClock::now());
         else if (const auto* usage = std::get_if<UsageNotice> (&*message))
@@ -133,27 +133,27 @@
             state.crashes.hear (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
                                 SteadyClock::now());
         else
-            take (std::get<LoadNotice> (*message));
+            handle (std::get<LoadNotice> (*message));
     }
 }
 
-auto PeerExchange::take (PeerReport report, const Endpoint& sender) -> void
+auto PeerExchange::handle (PeerReport report, const Endpoint& sender) -> void
 {
     const auto own = state.role();
 
-    if (report.node == state.settings.node || ! isWantedReport (own, report.scope, sender == route.reader))
+    if (report.node == state.settings.node || ! shouldAcceptReport (own, report.scope, sender == route.reader))
         return;
 
     const auto now = SteadyClock::now();
     const auto isFirst = state.peers.isFirst (report);
 
     if (isFirst || report.crashDigest != state.crashes.table().digest (now))
-        tellAllCrashes (sender, now);
+        sendAllCrashes (sender, now);
 
-    if (const auto scope = scopeToAnswer (own, report.scope, isFirst))
+    if (const auto scope = scopeToRespond (own, report.scope, isFirst))
         send (encodeMessage (makeReport (*scope, report.node, now), membership.secret()), sender);
 
-    if (noteConfigurationHeard (state.news, state.configuration, report.configurationRevision))
+    if (recordPeerConfigurationRevision (state.storeUpdates, state.configuration, report.configurationRevision))
         state.configurationWake->notify();
 
     if (report.isSettled && ! isSettled (state.sharing, state.peers, now))
@@ -166,40 +166,40 @@
             .info();
     }
 
-    state.quota.charge (state.peers.note (std::move (report), now), now);
+    state.quota.charge (state.peers.record (std::move (report), now), now);
 }
 
-auto PeerExchange::answer (const NewsQuestion& question, const Endpoint& sender) -> void
+auto PeerExchange::respond (const StoreUpdateQuery& query, const Endpoint& sender) -> void
 {
     const auto now = SteadyClock::now();
-    takeLoads (question.loads, true);
-    auto told =
-        makeAnswer (question, state.news, state.configuration, state.directory, state.settings.node, now);
-    told.loads = state.loads.recent (now);
-    told.rollouts = state.rollouts.table.all();
-    told.areRolloutsKnown = state.rollouts.table.isKnown;
-    send (encodeMessage (told, membership.secret()), sender);
+    recordLoads (query.loads, true);
+    auto response =
+        makeStoreUpdateResponse (query, state.storeUpdates, state.configuration, state.directory, state.settings.node, now);
+    response.loads = state.loads.recent (now);
+    response.rollouts = state.rollouts.table.all();
+    response.areRolloutsKnown = state.rollouts.table.isKnown;
+    send (encodeMessage (response, membership.secret()), sender);
 }
 
-auto PeerExchange::take (const LoadNotice& notice) -> void
+auto PeerExchange::handle (const LoadNotice& notice) -> void
 {
-    takeLoads (notice.loads, false);
+    recordLoads (notice.loads, false);
 
     for (const auto& rollout : notice.rollouts)
         state.rollouts.take (rollout, notice.node);
 }
 
-auto PeerExchange::take (NewsAnswer answer) -> void
+auto PeerExchange::handle (StoreUpdateResponse response) -> void
 {
     const auto now = SteadyClock::now();
-    takeLoads (answer.loads, false);
-    state.rollouts.table.isKnown = state.rollouts.table.isKnown || answer.areRolloutsKnown;
+    recordLoads (response.loads, false);
+    state.rollouts.table.isKnown = state.rollouts.table.isKnown || response.areRolloutsKnown;
 
-    for (const auto& rollout : answer.rollouts)
-        state.rollouts.take (rollout, answer.node);
+    for (const auto& rollout : response.rollouts)
+        state.rollouts.take (rollout, response.node);
 
     const auto effect =
-        takeAnswer (state.news, state.configuration, state.directory, std::move (answer), now);
+        applyStoreUpdateResponse (state.storeUpdates, state.configuration, state.directory, std::move (response), now);
 
     if (effect.directory)
         state.publishDirectory (now);
@@ -213,26 +213,26 @@
     for (;;)
     {
         const auto now = SteadyClock::now();
-        const auto greetsSoon = ! hasGreeted && isNewNode (state.sharing, now);
-        co_await pauseFor (state.loop, greetsSoon ? greetingInterval : nextReportIn (now));
+        const auto isFirstReportPending = ! hasSentFirstReport && isNewNode (state.sharing, now);
+        co_await pauseFor (state.loop, isFirstReportPending ? firstReportInterval : timeUntilNextReport (now));
         state.quota.noteOthersAsked (askedOfOthers (state.sharing, state.peers, SteadyClock::now()));
 
-        if (! knowsOthers())
+        if (! hasPeers())
             continue;
 
         const auto sent = SteadyClock::now();
-        const auto targets = chooseTargets (sent);
-        const auto report = makeReport (scopeToTell (state.role()), {}, sent);
+        const auto targets = chooseReportTargets (sent);
+        const auto report = makeReport (scopeToSend (state.role()), {}, sent);
         const auto datagram = encodeMessage (report, membership.secret());
 
         for (const auto& target : targets)
             send (datagram, target);
 
-        hasGreeted = true;
+        hasSentFirstReport = true;
     }
 }
 
-auto PeerExchange::nextReportIn (TimePoint now) const -> Duration
+auto PeerExchange::timeUntilNextReport (TimePoint now) const -> Duration
 {
     if (! isSettled (state.sharing, state.peers, now))
         return reportIntervalWhenUnsettled;
@@ -246,15 +246,15 @@
     {
         co_await pauseFor (state.loop, usageInterval);
 
-        if (! knowsOthers())
+        if (! hasPeers())
             continue;
 
-        tellUsage (SteadyClock::now());
-        tellRollouts();
+        sendUsage (SteadyClock::now());
+        sendRolloutCounts();
     }
 }
 
-auto PeerExchange::tellUsage (TimePoint now) -> void
+auto PeerExchange::sendUsage (TimePoint now) -> void
 {
     UsageNotice notice;
     notice.node = state.settings.node;
@@ -269,18 +269,18 @@
             send (datagram, reader);
     }
 
-    if (! state.news.isReader)
+    if (! state.storeUpdates.isReader)
         return;
 
     notice.domain = state.settings.failureDomain;
     notice.counts =
-        state.usageOfOthers.recentOfDomain (state.usage, state.trueTime.now (now) - keepTellingUsage);
+        state.usageOfOthers.recentOfDomain (state.usage, state.trueTime.now (now) - usageResendTime);
 
     if (! notice.counts.empty())
         sendToReaders (encodeMessage (notice, membership.secret()));
 }
 
-auto PeerExchange::tellRollouts() -> void
+auto PeerExchange::sendRolloutCounts() -> void
 {
     UsageNotice notice;
     notice.node = state.settings.node;
@@ -296,7 +296,7 @@
             send (datagram, reader);
     }
 
-    if (! state.news.isReader)
+    if (! state.storeUpdates.isReader)
         return;
 
     notice.domain = state.settings.failureDomain;
@@ -308,58 +308,58 @@
 
 auto PeerExchange::crashLoop() -> Task<void>
 {
-    std::vector<Endpoint> knownHearers;
+    std::vector<Endpoint> knownRecipients;
 
     for (;;)
     {
         // A node that was not listed yet as something was told hears it when it is.
-        auto hearers = knowsOthers() ? hearersOfCrashes() : std::vector<Endpoint>();
+        auto recipients = hasPeers() ? crashRecipients() : std::vector<Endpoint>();
 
-        for (const auto& hearer : hearers)
-            if (std::ranges::find (knownHearers, hearer) == knownHearers.end())
-                if (const auto datagram = allCrashes (state, membership, SteadyClock::now());
+        for (const auto& recipient : recipients)
+            if (std::ranges::find (knownRecipients, recipient) == knownRecipients.end())
+                if (const auto datagram = encodeAllCrashes (state, membership, SteadyClock::now());
                     ! datagram.empty())
-                    send (datagram, hearer);
+                    send (datagram, recipient);
 
-        knownHearers = std::move (hearers);
+        knownRecipients = std::move (recipients);
 
-        if (! knowsOthers() || ! tellCrashes (SteadyClock::now()))
+        if (! hasPeers() || ! sendNewCrashes (SteadyClock::now()))
             co_await crashWake->wait (SteadyClock::now() + idleCrashWait);
         else
             co_await pauseFor (state.loop, crashInterval);
     }
 }
 
-auto PeerExchange::tellCrashes (TimePoint now) -> bool
+auto PeerExchange::sendNewCrashes (TimePoint now) -> bool
 {
-    CrashNotice notice { state.settings.node, state.crashes.table().takeToTell (mostEvidenceTold) };
+    CrashNotice notice { state.settings.node, state.crashes.table().takeToTell (maxEvidencePerNotice) };
 
     if (notice.evidence.empty())
         return false;
 
     const auto datagram = encodeMessage (notice, membership.secret(), now);
 
-    for (const auto& target : hearersOfCrashes())
+    for (const auto& target : crashRecipients())
         send (datagram, target);
 
     return true;
 }
 
-auto PeerExchange::tellAllCrashes (const Endpoint& target, TimePoint now) -> void
+auto PeerExchange::sendAllCrashes (const Endpoint& target, TimePoint now) -> void
 {
-    if (now - toldAllCrashes < allCrashesInterval)
+    if (now - allCrashesSentAt < allCrashesInterval)
         return;
 
-    const auto datagram = allCrashes (state, membership, now);
+    const auto datagram = encodeAllCrashes (state, membership, now);
 
     if (datagram.empty())
         return;
 
-    toldAllCrashes = now;
+    allCrashesSentAt = now;
     send (datagram, target);
 }
 
-auto PeerExchange::hearersOfCrashes() const -> std::vector<Endpoint>
+auto PeerExchange::crashRecipients() const -> std::vector<Endpoint>
 {
     switch (state.role())
     {
@@ -371,43 +371,43 @@
             break;
     }
 
-    auto hearers = membership.ownReaders();
-    hearers.insert (hearers.end(), membership.otherReaders().begin(), membership.otherReaders().end());
-    hearers.insert (hearers.end(), membership.ownMembers().begin(), membership.ownMembers().end());
-    return hearers;
+    auto recipients = membership.ownReaders();
+    recipients.insert (recipients.end(), membership.otherReaders().begin(), membership.otherReaders().end());
+    recipients.insert (recipients.end(), membership.ownMembers().begin(), membership.ownMembers().end());
+    return recipients;
 }
 
-auto PeerExchange::newsLoop() -> Task<void>
+auto PeerExchange::storeUpdateLoop() -> Task<void>
 {
     for (;;)
     {
-        co_await pauseFor (state.loop, newsInterval);
+        co_await pauseFor (state.loop, storeUpdateInterval);
 
-        if (! knowsOthers())
+        if (! hasPeers())
             continue;
 
         const auto now = SteadyClock::now();
 
-        if (state.news.isReader)
-            tellLoads (now);
+        if (state.storeUpdates.isReader)
+            sendLoads (now);
 
-        askForNews (now);
+        queryStoreUpdates (now);
     }
 }
 
-auto PeerExchange::takeLoads (const std::vector<SharedLoad>& loads, bool isToTell) -> void
+auto PeerExchange::recordLoads (const std::vector<SharedLoad>& loads, bool shouldForward) -> void
 {
     const auto now = SteadyClock::now();
 
     for (const auto& load : loads)
-        if (state.loads.note (load, isToTell, now))
+        if (state.loads.record (load, shouldForward, now))
             state.replicas.noteLoadHeard (load.replica, { load.running, load.waiting, 0.0, false },
                                           now - load.age);
 }
 
-auto PeerExchange::tellLoads (TimePoint now) -> void
+auto PeerExchange::sendLoads (TimePoint now) -> void
 {
-    LoadNotice notice { state.settings.node, state.loads.takeToTell (now), state.rollouts.table.all() };
+    LoadNotice notice { state.settings.node, state.loads.takeForwardable (now), state.rollouts.table.all() };
 
     if (notice.loads.empty() && notice.rollouts.empty())
         return;
@@ -429,35 +429,35 @@
     socket.send_to (asio::buffer (datagram), target, 0, ignored);
 }
 
-auto PeerExchange::askForNews (TimePoint now) -> void
+auto PeerExchange::queryStoreUpdates (TimePoint now) -> void
 {
-    const auto ask = [&] (const std::vector<Endpoint>& readers, std::size_t& next)
+    const auto sendQuery = [&] (const std::vector<Endpoint>& readers, std::size_t& next)
     {
         if (readers.empty())
             return;
 
-        auto question = makeQuestion (state.news, state.directory, state.settings.node, now);
+        auto query = makeStoreUpdateQuery (state.storeUpdates, state.directory, state.settings.node, now);
 
-        if (! state.news.isReader)
-            question.loads = state.loads.takeToTell (now);
+        if (! state.storeUpdates.isReader)
+            query.loads = state.loads.takeForwardable (now);
 
-        send (encodeMessage (question, membership.secret()), readers[next++ % readers.size()]);
+        send (encodeMessage (query, membership.secret()), readers[next++ % readers.size()]);
     };
 
-    if (! state.news.isReader)
-        ask (membership.ownReaders(), nextOwnReader);
+    if (! state.storeUpdates.isReader)
+        sendQuery (membership.ownReaders(), nextOwnReader);
 
     // What the store itself told lately is as good.
-    if (now - std::max (state.news.ownProvenAt, state.news.provenAt) > newsOverdue)
-        ask (membership.otherReaders(), nextOtherReader);
+    if (now - std::max (state.storeUpdates.ownProvenAt, state.storeUpdates.provenAt) > storeUpdateOverdueAge)
+        sendQuery (membership.otherReaders(), nextOtherReader);
 }
 
-auto PeerExchange::knowsOthers() const -> bool
+auto PeerExchange::hasPeers() const -> bool
 {
     return ! membership.secret().empty() && ! membership.others().empty();
 }
 
-auto PeerExchange::chooseTargets (TimePoint now) -> std::vector<Endpoint>
+auto PeerExchange::chooseReportTargets (TimePoint now) -> std::vector<Endpoint>
 {
     const auto own = state.role();
     const auto isDirect = own == ReportRole::direct;
@@ -478,21 +478,21 @@
         return readers;
     }
 
-    if (keepReportRoute (route, membership.ownReaders(), membership.otherReaders(), state.settings.node,
-                         state.peers.lastHeard(), now))
+    if (updateReportRoute (route, membership.ownReaders(), membership.otherReaders(), state.settings.node,
+                         state.peers.lastReceived(), now))
     {
         state.quota.charge (state.peers.forgetAll(), now);
         LogLine ("reports_to_reader")
             .with ("reader", route.reader ? toText (*route.reader) : "none")
-            .with ("given_up", route.turn)
-            .with ("silent_milliseconds", inMilliseconds (now - state.peers.lastHeard()))
+            .with ("given_up", route.failovers)
+            .with ("silent_milliseconds", inMilliseconds (now - state.peers.lastReceived()))
             .info();
     }
 
     return route.reader ? std::vector { *route.reader } : std::vector<Endpoint>();
 }
 
-auto PeerExchange::ownReport (TimePoint now) -> PeerReport
+auto PeerExchange::makeOwnReport (TimePoint now) -> PeerReport
 {
     PeerReport report;
     report.node = state.settings.node;
@@ -500,7 +500,7 @@
     report.sequence = ++sequence;
     report.leaving = state.leaving;
     report.isSettled = isSettled (state.sharing, state.peers, now);
-    report.configurationRevision = newestConfigurationKnown (state.news, state.configuration);
+    report.configurationRevision = newestKnownConfigurationRevision (state.storeUpdates, state.configuration);
 
     report.crashDigest = state.crashes.table().digest (now);
 
@@ -520,16 +520,16 @@
     return report;
 }
 
-auto PeerExchange::makeReport (ReportScope scope, std::string_view asker, TimePoint now) -> PeerReport
+auto PeerExchange::makeReport (ReportScope scope, std::string_view requester, TimePoint now) -> PeerReport
 {
-    auto report = ownReport (now);
+    auto report = makeOwnReport (now);
 
     switch (scope)
     {
         case ReportScope::nodesOfReader:
             return state.peers.withNodes (std::move (report), now);
         case ReportScope::allOthers:
-            return state.peers.withAllBut (std::move (report), asker, now);
+            return state.peers.withAllBut (std::move (report), requester, now);
         case ReportScope::node:
             break;
     }
--- a/modules/snowrudder_serving/members/PeerExchange.h
+++ b/modules/snowrudder_serving/members/PeerExchange.h
@@ -34,29 +34,29 @@
     using Endpoint = Membership::Endpoint;
 
     auto receiveLoop() -> Task<void>;
-    auto take (PeerReport report, const Endpoint& sender) -> void;
-    auto answer (const NewsQuestion& question, const Endpoint& sender) -> void;
-    auto take (NewsAnswer answer) -> void;
-    auto take (const LoadNotice& notice) -> void;
+    auto handle (PeerReport report, const Endpoint& sender) -> void;
+    auto respond (const StoreUpdateQuery& query, const Endpoint& sender) -> void;
+    auto handle (StoreUpdateResponse response) -> void;
+    auto handle (const LoadNotice& notice) -> void;
     auto sendLoop() -> Task<void>;
-    [[nodiscard]] auto nextReportIn (TimePoint now) const -> Duration;
-    auto newsLoop() -> Task<void>;
+    [[nodiscard]] auto timeUntilNextReport (TimePoint now) const -> Duration;
+    auto storeUpdateLoop() -> Task<void>;
     auto usageLoop() -> Task<void>;
-    auto tellUsage (TimePoint now) -> void;
-    auto tellRollouts() -> void;
+    auto sendUsage (TimePoint now) -> void;
+    auto sendRolloutCounts() -> void;
     auto crashLoop() -> Task<void>;
-    auto tellCrashes (TimePoint now) -> bool;
-    auto tellAllCrashes (const Endpoint& target, TimePoint now) -> void;
-    [[nodiscard]] auto hearersOfCrashes() const -> std::vector<Endpoint>;
-    auto takeLoads (const std::vector<SharedLoad>& loads, bool isToTell) -> void;
-    auto tellLoads (TimePoint now) -> void;
+    auto sendNewCrashes (TimePoint now) -> bool;
+    auto sendAllCrashes (const Endpoint& target, TimePoint now) -> void;
+    [[nodiscard]] auto crashRecipients() const -> std::vector<Endpoint>;
+    auto recordLoads (const std::vector<SharedLoad>& loads, bool shouldForward) -> void;
+    auto sendLoads (TimePoint now) -> void;
     auto send (const std::string& datagram, const Endpoint& target) -> void;
-    auto askForNews (TimePoint now) -> void;
+    auto queryStoreUpdates (TimePoint now) -> void;
     auto sendToReaders (const std::string& datagram) -> void;
-    auto knowsOthers() const -> bool;
-    auto chooseTargets (TimePoint now) -> std::vector<Endpoint>;
-    auto ownReport (TimePoint now) -> PeerReport;
-    auto makeReport (ReportScope scope, std::string_view asker, TimePoint now) -> PeerReport;
+    auto hasPeers() const -> bool;
+    auto chooseReportTargets (TimePoint now) -> std::vector<Endpoint>;
+    auto makeOwnReport (TimePoint now) -> PeerReport;
+    auto makeReport (ReportScope scope, std::string_view requester, TimePoint now) -> PeerReport;
 
     ServingState& state;
     const Membership& membership;
@@ -64,12 +64,12 @@
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     /** Whether the others have been told of this node once. */
-    bool hasGreeted = false;
+    bool hasSentFirstReport = false;
     /** Whether this node told all others directly in the last round. */
     bool wasDirect = true;
     /** Ends the wait for crashes to tell of. */
     std::shared_ptr<Signal> crashWake;
-    TimePoint toldAllCrashes {};
+    TimePoint allCrashesSentAt {};
     ReportRoute route;
     PromptBudget promptBudget;
     /** Places from which the next round goes on. */
--- a/modules/snowrudder_serving/members/PeerTable.cpp
+++ b/modules/snowrudder_serving/members/PeerTable.cpp
@@ -33,7 +33,7 @@
 }
 
 /** A sum less one of its parts may fall below zero by rounding, and by rates of different ages. */
-auto keepAmounts (AdmittedByAccount& admitted) -> void
+auto clampAmounts (AdmittedByAccount& admitted) -> void
 {
     for (auto& [account, use] : admitted)
     {
@@ -65,11 +65,11 @@
 
 } // namespace
 
-auto PeerTable::note (PeerReport report, TimePoint now) -> AccountAmounts
+auto PeerTable::record (PeerReport report, TimePoint now) -> AccountAmounts
 {
     AccountAmounts charged;
     auto& peer = peers[report.node];
-    const auto isKnown = peer.heard != TimePoint();
+    const auto isKnown = peer.receivedAt != TimePoint();
     const auto isSameStart = isKnown && report.incarnation == peer.latest.incarnation;
 
     if (isKnown && report.incarnation < peer.latest.incarnation)
@@ -79,7 +79,7 @@
         return charged;
 
     if (! isSameStart)
-        peer.told.clear();
+        peer.reportedTotals.clear();
 
     const auto unknown = std::chrono::duration<double> (std::min (now - knownSince, rateTime)).count();
 
@@ -87,11 +87,11 @@
     {
         // A node that is not settled has admitted all that it tells of since about the time at which this one started.
         if (isKnown || ! report.isSettled)
-            charged[account] = use.tokens - amountIn (peer.told, account);
+            charged[account] = use.tokens - amountIn (peer.reportedTotals, account);
         else if (const auto likely = std::min (use.tokens, use.tokensPerSecond * unknown); likely > 0.0)
             charged[account] = likely;
 
-        peer.told[account] = use.tokens;
+        peer.reportedTotals[account] = use.tokens;
     }
 
     for (const auto& [account, tokens] : peer.assumed)
@@ -99,8 +99,8 @@
 
     peer.assumed.clear();
     peer.latest = std::move (report);
-    peer.heard = now;
-    latestHeard = std::max (latestHeard, now);
+    peer.receivedAt = now;
+    latestReceivedAt = std::max (latestReceivedAt, now);
 
     for (const auto& [account, tokens] : charged)
         addCharge (peer, account, tokens);
@@ -114,13 +114,13 @@
     return found == peers.end() || found->second.latest.incarnation < report.incarnation;
 }
 
-auto PeerTable::assumeSilent (Duration passed, TimePoint now) -> AccountAmounts
+auto PeerTable::chargeSilentPeers (Duration passed, TimePoint now) -> AccountAmounts
 {
     AccountAmounts charged;
 
     for (auto& [name, peer] : peers)
     {
-        const auto silent = now - peer.heard;
+        const auto silent = now - peer.receivedAt;
 
         if (peer.latest.leaving || silent < silentTime || silent > assumedTime)
             continue;
@@ -145,7 +145,7 @@
         for (const auto& [account, tokens] : peer.assumed)
             returned[account] -= tokens;
 
-    knownSince = std::max (knownSince, latestHeard);
+    knownSince = std::max (knownSince, latestReceivedAt);
     peers.clear();
     all = Sum();
     nodes = Sum();
@@ -164,7 +164,7 @@
     return sum;
 }
 
-auto PeerTable::countHeard (TimePoint now) const -> std::size_t
+auto PeerTable::countRecentNodes (TimePoint now) const -> std::size_t
 {
     auto count = std::size_t { 0 };
 
@@ -212,7 +212,7 @@
 {
     own.scope = ReportScope::nodesOfReader;
     addTo (own.admitted, nodes.charged, nodes.perSecond, nodes.asked);
-    keepAmounts (own.admitted);
+    clampAmounts (own.admitted);
     std::map<std::string, std::vector<double>, std::less<>> speeds;
 
     for (auto& [service, work] : own.work)
@@ -237,14 +237,14 @@
     return own;
 }
 
-auto PeerTable::withAllBut (PeerReport own, std::string_view asker, TimePoint now) const -> PeerReport
+auto PeerTable::withAllBut (PeerReport own, std::string_view requester, TimePoint now) const -> PeerReport
 {
     own.scope = ReportScope::allOthers;
     own.work.clear();
-    own.nodes = static_cast<std::uint32_t> (countHeard (now) + 1);
+    own.nodes = static_cast<std::uint32_t> (countRecentNodes (now) + 1);
     addTo (own.admitted, all.charged, all.perSecond, all.asked);
 
-    if (const auto found = peers.find (asker); found != peers.end())
+    if (const auto found = peers.find (requester); found != peers.end())
     {
         const auto& peer = found->second;
         own.nodes -= countedNodes (peer, now);
@@ -259,13 +259,13 @@
         }
     }
 
-    keepAmounts (own.admitted);
+    clampAmounts (own.admitted);
     return own;
 }
 
 auto PeerTable::isRecent (const Peer& peer, TimePoint now) -> bool
 {
-    return now - peer.heard <= heardTime;
+    return now - peer.receivedAt <= recentTime;
 }
 
 auto PeerTable::countedNodes (const Peer& peer, TimePoint now) -> std::uint32_t
--- a/modules/snowrudder_serving/members/PeerTable.h
+++ b/modules/snowrudder_serving/members/PeerTable.h
@@ -25,7 +25,7 @@
         @returns tokens that the node admitted since its last report. Of a node heard of for the first time, what it is
                  likely to have admitted since this one knows of the others
     */
-    auto note (PeerReport report, TimePoint now) -> AccountAmounts;
+    auto record (PeerReport report, TimePoint now) -> AccountAmounts;
 
     /** @returns whether a report is the first of its node's process that is heard here. */
     [[nodiscard]] auto isFirst (const PeerReport& report) const -> bool;
@@ -35,7 +35,7 @@
         @param passed  since the last call
         @returns       tokens
     */
-    auto assumeSilent (Duration passed, TimePoint now) -> AccountAmounts;
+    auto chargeSilentPeers (Duration passed, TimePoint now) -> AccountAmounts;
 
     /** Forgets all peers, as when another reader tells of the same nodes from now on.
 
@@ -43,14 +43,14 @@
     */
     auto forgetAll() -> AccountAmounts;
 
-    /** @returns tokens a second that callers lately asked of the nodes heard of within `heardTime`. */
+    /** @returns tokens a second that callers lately asked of the nodes heard of within `recentTime`. */
     [[nodiscard]] auto asked (TimePoint now) const -> AccountAmounts;
 
-    /** @returns nodes heard of within `heardTime`. */
-    [[nodiscard]] auto countHeard (TimePoint now) const -> std::size_t;
+    /** @returns nodes heard of within `recentTime`. */
+    [[nodiscard]] auto countRecentNodes (TimePoint now) const -> std::size_t;
 
     /** @returns when the last report came. */
-    [[nodiscard]] auto lastHeard() const -> TimePoint { return latestHeard; }
+    [[nodiscard]] auto lastReceived() const -> TimePoint { return latestReceivedAt; }
 
     /** @returns what the other nodes gave to a service's replicas, and the median of the speeds that they learnt. */
     [[nodiscard]] auto work (const std::string& service, TimePoint now) const -> ServiceWork;
@@ -69,10 +69,10 @@
         @param own    this node's report; becomes one of scope `allOthers`
         @param asker  the node that is left out
     */
-    [[nodiscard]] auto withAllBut (PeerReport own, std::string_view asker, TimePoint now) const -> PeerReport;
+    [[nodiscard]] auto withAllBut (PeerReport own, std::string_view requester, TimePoint now) const -> PeerReport;
 
     /** A node that was silent for so long no longer counts among those that share limits. */
-    static constexpr auto heardTime = Duration (2s);
+    static constexpr auto recentTime = Duration (2s);
 
     /** A node that misses two of its reports is taken as silent, and is charged for as long as a cut usually lasts; the
         callers of a node that died have come to others by then.
@@ -87,9 +87,9 @@
     struct Peer
     {
         PeerReport latest;
-        TimePoint heard {};
+        TimePoint receivedAt {};
         /** Totals as last told of each account. */
-        AccountAmounts told;
+        AccountAmounts reportedTotals;
         /** All that was charged here for it. */
         AccountAmounts charged;
         /** Tokens charged while it was silent, to be set off against what it tells next. */
@@ -111,7 +111,7 @@
 
     /** From when on admissions of the others are known here. */
     TimePoint knownSince;
-    TimePoint latestHeard {};
+    TimePoint latestReceivedAt {};
     std::map<std::string, Peer, std::less<>> peers;
     Sum all;
     /** Of the peers that report here for themselves. */
--- a/modules/snowrudder_serving/members/PromptBudget.h
+++ b/modules/snowrudder_serving/members/PromptBudget.h
@@ -14,15 +14,15 @@
 struct PromptBudget
 {
     /** Datagrams that are not paid for yet. */
-    double owed = 0.0;
+    double unpaidDatagrams = 0.0;
     TimePoint at {};
 };
 
 /** A prompt that takes a replica 100 ms to read holds up what else runs there. */
-inline constexpr auto announcedTokens = 6000.0;
+inline constexpr auto minAnnouncedTokens = 6000.0;
 
 /** A prompt that takes a replica nearly a second to read is told before the one before it is paid for. */
-inline constexpr auto largePrompt = 9 * announcedTokens;
+inline constexpr auto largePromptTokens = 9 * minAnnouncedTokens;
 
 /** Datagrams a second that a node may send to tell of prompts, on average; as many reach each node. What 83 nodes with 30 such
     prompts a second send stays within it.
@@ -37,20 +37,20 @@
 */
 inline auto mayAnnounce (PromptBudget& budget, double tokens, std::size_t others, TimePoint now) -> bool
 {
-    if (tokens < announcedTokens)
+    if (tokens < minAnnouncedTokens)
         return false;
 
     const auto seconds = std::chrono::duration<double> (now - budget.at).count();
-    budget.owed = std::max (0.0, budget.owed - seconds * promptDatagramsPerSecond);
+    budget.unpaidDatagrams = std::max (0.0, budget.unpaidDatagrams - seconds * promptDatagramsPerSecond);
     budget.at = now;
     const auto cost = static_cast<double> (others);
-    const auto ahead = std::min (1.0, tokens / largePrompt) * cost;
+    const auto ahead = std::min (1.0, tokens / largePromptTokens) * cost;
 
     // Small fleets tell of each: their cost is paid within a second.
-    if (budget.owed > std::max (ahead, promptDatagramsPerSecond))
+    if (budget.unpaidDatagrams > std::max (ahead, promptDatagramsPerSecond))
         return false;
 
-    budget.owed += cost;
+    budget.unpaidDatagrams += cost;
     return true;
 }
 
--- a/modules/snowrudder_serving/members/Readers.cpp
+++ b/modules/snowrudder_serving/members/Readers.cpp
@@ -17,18 +17,18 @@
     for (auto& [domain, names] : readers)
     {
         std::ranges::sort (names, {}, [] (const std::string& name) { return hashBytes (name); });
-        names.resize (std::min (names.size(), readersADomain));
+        names.resize (std::min (names.size(), readersPerDomain));
     }
 
     return readers;
 }
 
-auto writeMember (const MemberInfo& member) -> std::string
+auto formatMember (const MemberInfo& member) -> std::string
 {
     return member.endpoint + " " + member.failureDomain;
 }
 
-auto readMember (const std::string& text) -> MemberInfo
+auto parseMember (const std::string& text) -> MemberInfo
 {
     const auto blank = text.find (' ');
 
--- a/modules/snowrudder_serving/members/Readers.h
+++ b/modules/snowrudder_serving/members/Readers.h
@@ -20,7 +20,7 @@
 using ReadersByDomain = std::map<std::string, std::vector<std::string>>;
 
 /** Readers in each failure domain: with one alone, its loss would leave the others without news until they notice. */
-inline constexpr auto readersADomain = std::size_t { 2 };
+inline constexpr auto readersPerDomain = std::size_t { 2 };
 
 /** Chooses the readers. All nodes that know the same members choose the same ones without talking.
 
@@ -29,9 +29,9 @@
 auto chooseReaders (const std::map<std::string, MemberInfo>& members) -> ReadersByDomain;
 
 /** @returns the text under which a node enters itself. */
-auto writeMember (const MemberInfo& member) -> std::string;
+auto formatMember (const MemberInfo& member) -> std::string;
 
 /** @returns a member's entry as it was written; without a failure domain where the text has none. */
-auto readMember (const std::string& text) -> MemberInfo;
+auto parseMember (const std::string& text) -> MemberInfo;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/ReportRole.h
+++ b/modules/snowrudder_serving/members/ReportRole.h
@@ -30,7 +30,7 @@
 }
 
 /** @returns whose figures a node tells of its own accord. */
-inline auto scopeToTell (ReportRole role) -> ReportScope
+inline auto scopeToSend (ReportRole role) -> ReportScope
 {
     return role == ReportRole::reader ? ReportScope::nodesOfReader : ReportScope::node;
 }
@@ -40,7 +40,7 @@
 
     @param isFromOwnReader  whether the reader sent it to which this node reports
 */
-inline auto isWantedReport (ReportRole role, ReportScope scope, bool isFromOwnReader) -> bool
+inline auto shouldAcceptReport (ReportRole role, ReportScope scope, bool isFromOwnReader) -> bool
 {
     switch (role)
     {
@@ -60,7 +60,7 @@
 
     @param isFirst  whether it is the first one of its node's process that is heard here
 */
-inline auto scopeToAnswer (ReportRole role, ReportScope scope, bool isFirst) -> std::optional<ReportScope>
+inline auto scopeToRespond (ReportRole role, ReportScope scope, bool isFirst) -> std::optional<ReportScope>
 {
     if (role == ReportRole::reader && scope == ReportScope::node)
         return ReportScope::allOthers;
@@ -69,7 +69,7 @@
     if (role == ReportRole::member || ! isFirst)
         return {};
 
-    return scopeToTell (role);
+    return scopeToSend (role);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/ReportRoute.cpp
+++ b/modules/snowrudder_serving/members/ReportRoute.cpp
@@ -9,12 +9,12 @@
 {
 
 /** @returns the reader whose turn it is, or nothing where there are none. */
-auto readerInTurn (const ReportRoute& route,
+auto readerForTurn (const ReportRoute& route,
                    const std::vector<ReportRoute::Endpoint>& otherReaders,
                    std::string_view node) -> std::optional<ReportRoute::Endpoint>
 {
     const auto own = route.ownReaders.size();
-    const auto turn = route.turn % std::max<std::size_t> (own + otherReaders.size(), 1);
+    const auto turn = route.failovers % std::max<std::size_t> (own + otherReaders.size(), 1);
 
     if (turn < own)
         return route.ownReaders[(hashBytes (node) + turn) % own];
@@ -27,34 +27,34 @@
 
 } // namespace
 
-auto keepReportRoute (ReportRoute& route,
+auto updateReportRoute (ReportRoute& route,
                       const std::vector<ReportRoute::Endpoint>& ownReaders,
                       const std::vector<ReportRoute::Endpoint>& otherReaders,
                       std::string_view node,
-                      TimePoint lastHeard,
+                      TimePoint lastResponseAt,
                       TimePoint now) -> bool
 {
     if (route.ownReaders != ownReaders)
     {
         route.ownReaders = ownReaders;
-        route.turn = 0;
+        route.failovers = 0;
     }
-    else if (route.reader && now - std::max (lastHeard, route.since) > readerSilence)
-        ++route.turn;
+    else if (route.reader && now - std::max (lastResponseAt, route.chosenAt) > readerTimeout)
+        ++route.failovers;
 
-    const auto chosen = readerInTurn (route, otherReaders, node);
+    const auto chosen = readerForTurn (route, otherReaders, node);
 
     if (chosen == route.reader)
     {
         // A single reader that is silent is asked on; its silence counts anew.
-        if (now - std::max (lastHeard, route.since) > readerSilence)
-            route.since = now;
+        if (now - std::max (lastResponseAt, route.chosenAt) > readerTimeout)
+            route.chosenAt = now;
 
         return false;
     }
 
     route.reader = chosen;
-    route.since = now;
+    route.chosenAt = now;
     return true;
 }
 
--- a/modules/snowrudder_serving/members/ReportRoute.h
+++ b/modules/snowrudder_serving/members/ReportRoute.h
@@ -21,27 +21,27 @@
 
     std::optional<Endpoint> reader;
     /** When it was chosen. */
-    TimePoint since {};
+    TimePoint chosenAt {};
     /** Readers that were given up since the ones of the failure domain last changed. */
-    std::size_t turn = 0;
+    std::size_t failovers = 0;
     std::vector<Endpoint> ownReaders;
 };
 
 /** A reader that answered nothing for so long is given up for another: two reports or four were lost, or it is gone. */
-inline constexpr auto readerSilence = Duration (1s);
+inline constexpr auto readerTimeout = Duration (1s);
 
 /** Keeps to the reader chosen, or chooses another: nodes of a failure domain spread over its readers; where all of those are
     silent, readers elsewhere take turns.
 
     @param node       this node's name
-    @param lastHeard  when the reader last answered
+    @param lastResponseAt  when the reader last answered
     @returns          whether another one was chosen
 */
-auto keepReportRoute (ReportRoute& route,
+auto updateReportRoute (ReportRoute& route,
                       const std::vector<ReportRoute::Endpoint>& ownReaders,
                       const std::vector<ReportRoute::Endpoint>& otherReaders,
                       std::string_view node,
-                      TimePoint lastHeard,
+                      TimePoint lastResponseAt,
                       TimePoint now) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/ReportTimes.h
+++ b/modules/snowrudder_serving/members/ReportTimes.h
@@ -12,12 +12,12 @@
     the same from 26 nodes on. In turns of 24 from each to all, 295 nodes took 2.7 s until all had heard, more than half of
     the others always counted as silent, and a node sent 60 to 120 reports a second.
 */
-inline constexpr auto mostTellingDirectly = std::size_t { 25 };
+inline constexpr auto maxDirectNodes = std::size_t { 25 };
 
 /** @param nodes  this one included */
 inline auto reportsToReaders (std::size_t nodes) -> bool
 {
-    return nodes > mostTellingDirectly;
+    return nodes > maxDirectNodes;
 }
 
 /** Twice within the time in which limits must follow demand (1 s). */
@@ -32,7 +32,7 @@
 inline constexpr auto reportIntervalWhenUnsettled = 100ms;
 
 /** A report's way, and its wait in the receiver's event loop on a tenth of a core; measured at 83 nodes. */
-inline constexpr auto reportWay = 100ms;
+inline constexpr auto reportTransitTime = 100ms;
 
 /** @returns how long it takes, near a limit, until every other node has heard what this one admitted.
 
@@ -44,12 +44,12 @@
         return Duration::zero();
 
     if (! reportsToReaders (nodes))
-        return reportIntervalWhenTight + reportWay;
+        return reportIntervalWhenTight + reportTransitTime;
 
     // To the reader, from there to the other readers, and from those with the answers to their nodes' next reports.
     constexpr auto hops = 3;
     constexpr auto ways = 2;
-    return hops * Duration (reportIntervalWhenTight) + ways * Duration (reportWay);
+    return hops * Duration (reportIntervalWhenTight) + ways * Duration (reportTransitTime);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/SharedLoads.cpp
+++ b/modules/snowrudder_serving/members/SharedLoads.cpp
@@ -5,28 +5,28 @@
 namespace snowrudder
 {
 
-auto SharedLoads::note (const SharedLoad& load, bool isToTell, TimePoint now) -> bool
+auto SharedLoads::record (const SharedLoad& load, bool shouldForward, TimePoint now) -> bool
 {
-    const auto heard = now - load.age;
+    const auto receivedAt = now - load.age;
     auto& entry = entries[load.replica];
 
-    if (load.age > longestAge || heard <= entry.heard)
+    if (load.age > maxLoadAge || receivedAt <= entry.receivedAt)
         return false;
 
-    entry = { load.running, load.waiting, heard, isToTell };
+    entry = { load.running, load.waiting, receivedAt, shouldForward };
     return true;
 }
 
-auto SharedLoads::takeToTell (TimePoint now) -> std::vector<SharedLoad>
+auto SharedLoads::takeForwardable (TimePoint now) -> std::vector<SharedLoad>
 {
     std::vector<SharedLoad> loads;
 
     for (auto& [replica, entry] : entries)
     {
-        if (! entry.isToTell || loads.size() == mostLoads)
+        if (! entry.shouldForward || loads.size() == maxLoads)
             continue;
 
-        entry.isToTell = false;
+        entry.shouldForward = false;
         loads.push_back (asLoad (replica, entry, now));
     }
 
@@ -35,23 +35,23 @@
 
 auto SharedLoads::recent (TimePoint now) -> std::vector<SharedLoad>
 {
-    std::erase_if (entries, [now] (const auto& known) { return now - known.second.heard > longestAge; });
+    std::erase_if (entries, [now] (const auto& known) { return now - known.second.receivedAt > maxLoadAge; });
     std::vector<SharedLoad> loads;
 
     for (const auto& [replica, entry] : entries)
         loads.push_back (asLoad (replica, entry, now));
 
-    if (loads.size() <= mostLoads)
+    if (loads.size() <= maxLoads)
         return loads;
 
-    std::ranges::nth_element (loads, loads.begin() + mostLoads, {}, &SharedLoad::age);
-    loads.resize (mostLoads);
+    std::ranges::nth_element (loads, loads.begin() + maxLoads, {}, &SharedLoad::age);
+    loads.resize (maxLoads);
     return loads;
 }
 
 auto SharedLoads::asLoad (std::uint32_t replica, const Entry& entry, TimePoint now) -> SharedLoad
 {
-    return { replica, entry.running, entry.waiting, now - entry.heard };
+    return { replica, entry.running, entry.waiting, now - entry.receivedAt };
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/SharedLoads.h
+++ b/modules/snowrudder_serving/members/SharedLoads.h
@@ -50,30 +50,30 @@
 public:
     /** Notes a load; an older one than what is known changes nothing.
 
-        @param isToTell  whether this node is to hand it on
+        @param shouldForward  whether this node is to hand it on
         @returns         whether it is news
     */
-    auto note (const SharedLoad& load, bool isToTell, TimePoint now) -> bool;
+    auto record (const SharedLoad& load, bool shouldForward, TimePoint now) -> bool;
 
     /** @returns what is to be handed on, once. */
-    auto takeToTell (TimePoint now) -> std::vector<SharedLoad>;
+    auto takeForwardable (TimePoint now) -> std::vector<SharedLoad>;
 
     /** @returns what was heard lately by anybody, the newest first where there is more than fits. */
     auto recent (TimePoint now) -> std::vector<SharedLoad>;
 
     /** Loads older than this say little: a model's replica turns over a tenth of its requests in it. */
-    static constexpr auto longestAge = Duration (1s);
+    static constexpr auto maxLoadAge = Duration (1s);
 
     /** Loads in one datagram: ten bytes each, beside the changes of replicas. */
-    static constexpr auto mostLoads = std::size_t { 200 };
+    static constexpr auto maxLoads = std::size_t { 200 };
 
 private:
     struct Entry
     {
         std::uint32_t running = 0;
         std::uint32_t waiting = 0;
-        TimePoint heard {};
-        bool isToTell = false;
+        TimePoint receivedAt {};
+        bool shouldForward = false;
     };
 
     static auto asLoad (std::uint32_t replica, const Entry& entry, TimePoint now) -> SharedLoad;
--- /dev/null
+++ b/modules/snowrudder_serving/members/StoreUpdates.cpp
@@ -0,0 +1,153 @@
+#include "StoreUpdates.h"
+
+#include <algorithm>
+
+namespace snowrudder
+{
+
+namespace
+{
+
+/** Questions of the last two seconds may still be answered. */
+constexpr auto maxOpenQueries = std::size_t { 12 };
+
+/** Changes told in one answer: some 100 bytes each, in a datagram of 8 KB. */
+constexpr auto maxChangesPerResponse = std::size_t { 48 };
+
+/** Entries that may come back are kept on from answer to answer. The next answer comes before this, and a node that took
+    the store for away because it alone is cut off makes others keep them no longer.
+*/
+constexpr auto maxKeepMissing = Duration (600ms);
+
+/** @returns when the question was sent, if it is known and not answered yet. */
+auto takeOpenQuery (StoreUpdateState& storeUpdates, std::uint64_t number) -> std::optional<TimePoint>
+{
+    const auto found = std::ranges::find (storeUpdates.openQueries, number, &StoreUpdateState::SentQuery::number);
+
+    if (found == storeUpdates.openQueries.end())
+        return {};
+
+    const auto sent = found->sent;
+    storeUpdates.openQueries.erase (found);
+    return sent;
+}
+
+/** @returns whether the node told of changes that it had missed before. */
+auto hasMissedMore (StoreUpdateState& storeUpdates, const StoreUpdateResponse& response) -> bool
+{
+    const auto [known, isFirst] = storeUpdates.missedChanges.emplace (response.node, response.missedChanges);
+    const auto hasMore = ! isFirst && known->second != response.missedChanges;
+    known->second = response.missedChanges;
+    return hasMore;
+}
+
+} // namespace
+
+auto recordPeerConfigurationRevision (StoreUpdateState& storeUpdates, const ConfigurationState& configuration, std::uint64_t revision)
+    -> bool
+{
+    if (revision <= storeUpdates.newestConfigurationRevision)
+        return false;
+
+    storeUpdates.newestConfigurationRevision = revision;
+    return configuration.current && configuration.current->revision < revision;
+}
+
+auto newestKnownConfigurationRevision (const StoreUpdateState& storeUpdates, const ConfigurationState& configuration)
+    -> std::uint64_t
+{
+    return std::max (configuration.current ? configuration.current->revision : 0, storeUpdates.newestConfigurationRevision);
+}
+
+auto makeStoreUpdateQuery (StoreUpdateState& storeUpdates, const ReplicaDirectory& directory, std::string node, TimePoint now)
+    -> StoreUpdateQuery
+{
+    storeUpdates.openQueries.push_back ({ ++storeUpdates.lastQueryNumber, now });
+
+    if (storeUpdates.openQueries.size() > maxOpenQueries)
+        storeUpdates.openQueries.pop_front();
+
+    return { std::move (node), storeUpdates.lastQueryNumber, directory.revision, {} };
+}
+
+auto makeStoreUpdateResponse (const StoreUpdateQuery& query,
+                 const StoreUpdateState& storeUpdates,
+                 const ConfigurationState& configuration,
+                 const ReplicaDirectory& directory,
+                 std::string node,
+                 TimePoint now) -> StoreUpdateResponse
+{
+    StoreUpdateResponse response;
+    response.node = std::move (node);
+    response.number = query.number;
+
+    if (configuration.current)
+    {
+        response.configurationRevision = configuration.current->revision;
+        response.proofAge = now - configuration.provenAt;
+    }
+
+    response.directoryAge = now - std::max (storeUpdates.ownProvenAt, storeUpdates.provenAt);
+    response.changes = changesAfter (directory, query.directoryRevision, maxChangesPerResponse);
+    response.missedChanges = directory.missedChanges;
+    response.membersHash = storeUpdates.membersHash;
+
+    if (now < directory.keepMissingUntil)
+        response.keepMissing = std::min (directory.keepMissingUntil - now, maxKeepMissing);
+
+    return response;
+}
+
+auto applyStoreUpdateResponse (StoreUpdateState& storeUpdates,
+                 ConfigurationState& configuration,
+                 ReplicaDirectory& directory,
+                 StoreUpdateResponse response,
+                 TimePoint now) -> StoreUpdateEffect
+{
+    StoreUpdateEffect effect;
+    const auto sent = takeOpenQuery (storeUpdates, response.number);
+
+    if (sent && response.membersHash != 0)
+    {
+        storeUpdates.readerMembersHash = response.membersHash;
+        storeUpdates.readerMembersHashAt = *sent;
+    }
+
+    if (! sent)
+        return effect;
+
+    const auto provenAt = *sent - response.proofAge;
+    const auto directoryProvenAt = *sent - response.directoryAge;
+    effect.newerConfiguration = recordPeerConfigurationRevision (storeUpdates, configuration, response.configurationRevision);
+
+    if (configuration.current && configuration.current->revision == response.configurationRevision)
+        configuration.provenAt = std::max (configuration.provenAt, provenAt);
+
+    // Without a list of its own the node has nothing that changes could be added to, and a node that has just started has
+    // nothing to tell of them.
+    if (directory.revision == 0 || response.changes.revision == 0)
+        return effect;
+
+    // A node that reads the store itself goes by its own calls, unless it alone is cut off.
+    const auto isRecent = now - directoryProvenAt <= storeUpdateOverdueAge;
+    const auto takesWord = ! storeUpdates.isReader || now - storeUpdates.ownProvenAt > storeUpdateOverdueAge;
+
+    if (takesWord && isRecent && response.changes.isComplete)
+        directory.keepMissingUntil = now + response.keepMissing;
+
+    // A reader that has just started can't tell what was removed before; the other one can. Of 400 lists of a day with 30 restarts
+    // half were made for such answers.
+    const auto lacksChanges = ! response.changes.isComplete && now - storeUpdates.provenAt > storeUpdateOverdueAge;
+
+    if (hasMissedMore (storeUpdates, response) || lacksChanges)
+        storeUpdates.mustListReplicas = storeUpdates.mustListReplicas || ! storeUpdates.isReader;
+
+    if (! response.changes.isComplete)
+        return effect;
+
+    storeUpdates.provenAt = std::max (storeUpdates.provenAt, directoryProvenAt);
+    effect.directory = applyChanges (directory, std::move (response.changes), now);
+    return effect;
+}
+
+} // namespace snowrudder
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -152,7 +152,7 @@
         const auto now = SteadyClock::now();
         state.trueTime.compare (now, wallTimeNow().time_since_epoch());
         state.pool.closeOld (now);
-        state.quota.charge (state.peers.assumeSilent (sweepInterval, now), now);
+        state.quota.charge (state.peers.chargeSilentPeers (sweepInterval, now), now);
 
         if (state.role() == ReportRole::reader)
             state.peers.refreshRates (now);
@@ -212,7 +212,7 @@
     // What this node counted is told while it drains, as soon as there is anybody to tell: another node may have just started.
     while (SteadyClock::now() < drainStart)
     {
-        co_await membership.lookForOthers();
+        co_await membership.listOthersIfNone();
         co_await pauseFor (state.loop, std::min<Duration> (lookInterval, drainStart - SteadyClock::now()));
     }
 
--- a/modules/snowrudder_serving/node/ServingState.h
+++ b/modules/snowrudder_serving/node/ServingState.h
@@ -8,7 +8,7 @@
 #include "../duties/UsageGathering.h"
 #include "../duties/UsageWindows.h"
 #include "../limits/QuotaSharing.h"
-#include "../members/News.h"
+#include "../members/StoreUpdates.h"
 #include "../members/PeerTable.h"
 #include "../members/ReportRole.h"
 #include "../members/TrueTime.h"
@@ -54,13 +54,13 @@
     }
 
     /** Nodes that share limits and replicas, this one included. */
-    [[nodiscard]] auto nodeCount (TimePoint now) const -> std::size_t { return peers.countHeard (now) + 1; }
+    [[nodiscard]] auto nodeCount (TimePoint now) const -> std::size_t { return peers.countRecentNodes (now) + 1; }
 
     /** @returns nodes that the store last listed, this one included; 1 before it listed them once. */
     [[nodiscard]] auto memberCount() const -> std::size_t { return sharing.members.value_or (1); }
 
     /** @returns what this node does among those that report to each other. */
-    [[nodiscard]] auto role() const -> ReportRole { return reportRole (memberCount(), news.isReader); }
+    [[nodiscard]] auto role() const -> ReportRole { return reportRole (memberCount(), storeUpdates.isReader); }
 
     /** @returns retries that this node may save up: its part of half of the fleet's fixed number. The other half is kept back
         for nodes that know each other late. A node without any could not even replace an attempt that was refused.
@@ -99,7 +99,7 @@
     SharedQuota quota;
     PeerTable peers;
     TrueTime trueTime;
-    NewsState news;
+    StoreUpdateState storeUpdates;
     SharedLoads loads;
     /** Ends the pause before the next look at the configuration. */
     const std::shared_ptr<Signal> configurationWake;
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -231,7 +231,7 @@
     if (answer.load)
     {
         state.replicas.noteLoad (ticket.number, *answer.load, now);
-        state.loads.note (
+        state.loads.record (
             { replicaHash (ticket.info.name), answer.load->running, answer.load->waiting, Duration::zero() },
             true, now);
     }
--- a/modules/snowrudder_serving/rollout/RolloutFollower.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutFollower.cpp
@@ -69,7 +69,7 @@
 {
     for (;;)
     {
-        if (! state.news.isReader || ! state.sharing.members)
+        if (! state.storeUpdates.isReader || ! state.sharing.members)
         {
             co_await pauseFor (state.loop, idlePause);
             continue;
@@ -77,7 +77,7 @@
 
         auto known = co_await readAll (state, store, formats);
 
-        while (known.outcome == StoreOutcome::done && state.news.isReader)
+        while (known.outcome == StoreOutcome::done && state.storeUpdates.isReader)
         {
             known = co_await store.watch (formats.rolloutPrefix, known.revision, watchTime);
 
--- a/modules/snowrudder_serving/store/StoreFollowers.cpp
+++ b/modules/snowrudder_serving/store/StoreFollowers.cpp
@@ -38,9 +38,9 @@
 
     @param failures  in a row; the first of them may be a connection's own
 */
-auto pauseAfterFailure (const NewsState& news, std::size_t failures) -> Duration
+auto pauseAfterFailure (const StoreUpdateState& storeUpdates, std::size_t failures) -> Duration
 {
-    return news.isReader || failures < 2 ? Duration (failurePause) : followerPause;
+    return storeUpdates.isReader || failures < 2 ? Duration (failurePause) : followerPause;
 }
 
 auto takeConfiguration (ServingState& state, const StoreFormats& formats, const StoredItem& item) -> bool
@@ -76,7 +76,7 @@
     noteStoreAnswer (state, read.outcome, "configuration");
 
     for (const auto& item : read.items)
-        if (item.revision >= state.news.newestConfiguration)
+        if (item.revision >= state.storeUpdates.newestConfigurationRevision)
             takeConfiguration (state, formats, item);
 
     co_return read.outcome;
@@ -90,15 +90,15 @@
     const auto now = SteadyClock::now();
     const auto hasConfiguration = state.configuration.current != nullptr;
 
-    if (! hasConfiguration || (isAnswer (outcome) && now < asked + newsLimit - checkInterval &&
-                               asked < state.configuration.provenAt + newsLimit))
+    if (! hasConfiguration || (isAnswer (outcome) && now < asked + storeUpdateAgeLimit - checkInterval &&
+                               asked < state.configuration.provenAt + storeUpdateAgeLimit))
         return;
 
     LogLine ("configuration_check_late")
         .with ("outcome", toString (outcome))
-        .with ("reader", state.news.isReader ? "yes" : "no")
+        .with ("reader", state.storeUpdates.isReader ? "yes" : "no")
         .with ("proof_milliseconds", inMilliseconds (asked - state.configuration.provenAt))
-        .with ("news_milliseconds", inMilliseconds (asked - state.news.provenAt))
+        .with ("news_milliseconds", inMilliseconds (asked - state.storeUpdates.provenAt))
         .with ("call_milliseconds", inMilliseconds (now - asked))
         .info();
 }
@@ -110,12 +110,12 @@
 auto checkConfiguration (ServingState& state, const StateStore& store, const StoreFormats& formats)
     -> Task<bool>
 {
-    if (mayReadOldConfiguration (state.news, state.configuration, SteadyClock::now()))
+    if (mayReadStaleConfiguration (state.storeUpdates, state.configuration, SteadyClock::now()))
     {
         const auto outcome = co_await readHeardOf (state, store, formats);
 
         if (! isAnswer (outcome) ||
-            ! mustCheckConfiguration (state.news, state.configuration, SteadyClock::now()))
+            ! mustCheckConfiguration (state.storeUpdates, state.configuration, SteadyClock::now()))
             co_return isAnswer (outcome);
     }
 
@@ -144,7 +144,7 @@
     if (! isAnswer (outcome))
         co_return false;
 
-    state.news.ownProvenAt = std::max (state.news.ownProvenAt, asked);
+    state.storeUpdates.ownProvenAt = std::max (state.storeUpdates.ownProvenAt, asked);
     auto isNewest = outcome == StoreOutcome::done && state.configuration.current != nullptr;
 
     for (const auto& item : newer)
@@ -210,10 +210,10 @@
 {
     const auto now = SteadyClock::now();
 
-    if (state.news.isReader || ! state.configuration.current)
+    if (state.storeUpdates.isReader || ! state.configuration.current)
         return now + usualPause;
 
-    const auto untilOverdue = proofOverdueAt (state.news, state.configuration) - now;
+    const auto untilOverdue = proofOverdueAt (state.storeUpdates, state.configuration) - now;
     return now + std::min (usualPause, std::max<Duration> (failurePause, untilOverdue));
 }
 
@@ -231,7 +231,7 @@
     // Entries may lapse from the outage's begin on, and watches may tell so before the store counts as back. Where others
     // had the store meanwhile there was no outage.
     const auto now = SteadyClock::now();
-    const auto othersHadIt = now - state.news.provenAt <= newsLimit;
+    const auto othersHadIt = now - state.storeUpdates.provenAt <= storeUpdateAgeLimit;
     const auto keptAfter = othersHadIt ? Duration::zero() : lapseTime;
     state.directory.keepMissingUntil = isAnswered ? now + keptAfter : TimePoint::max();
 
@@ -254,7 +254,7 @@
         const auto before = state.configuration.current;
         auto isAnswered = true;
 
-        if (mustCheckConfiguration (state.news, state.configuration, SteadyClock::now()))
+        if (mustCheckConfiguration (state.storeUpdates, state.configuration, SteadyClock::now()))
             isAnswered = co_await checkConfiguration (state, store, formats);
 
         failures = isAnswered ? 0 : failures + 1;
@@ -271,9 +271,9 @@
                 .warning();
 
         wasFresh = fresh;
-        const auto pause = ! isAnswered                  ? pauseAfterFailure (state.news, failures)
+        const auto pause = ! isAnswered                  ? pauseAfterFailure (state.storeUpdates, failures)
                            : state.configuration.current ? Duration (checkInterval)
-                           : asksStore (state.news, now) ? emptyPause
+                           : mustQueryStore (state.storeUpdates, now) ? emptyPause
                                                          : Duration (idlePause);
         co_await state.configurationWake->wait (isAnswered ? nextLook (state, pause) : now + pause);
     }
@@ -291,7 +291,7 @@
 {
     const auto listEnd = SteadyClock::now() + listTime;
 
-    while (asksStore (state.news, SteadyClock::now()))
+    while (mustQueryStore (state.storeUpdates, SteadyClock::now()))
     {
         const auto now = SteadyClock::now();
 
@@ -299,7 +299,7 @@
         // configuration; it need not watch before.
         const auto servesNobody = ! state.sharing.members || ! state.configuration.current;
 
-        if ((servesNobody && isNewNode (state.sharing, now)) || ! mustWatch (state.news, listedAt, now))
+        if ((servesNobody && isNewNode (state.sharing, now)) || ! mustWatchReplicas (state.storeUpdates, listedAt, now))
         {
             co_await pauseFor (state.loop, idlePause);
             continue;
@@ -336,7 +336,7 @@
 
     for (;;)
     {
-        if (! state.news.needsList && ! asksStore (state.news, SteadyClock::now()))
+        if (! state.storeUpdates.mustListReplicas && ! mustQueryStore (state.storeUpdates, SteadyClock::now()))
         {
             co_await pauseFor (state.loop, idlePause);
             continue;
@@ -348,12 +348,12 @@
 
         if (listed.outcome != StoreOutcome::done)
         {
-            co_await pauseFor (state.loop, pauseAfterFailure (state.news, ++failures));
+            co_await pauseFor (state.loop, pauseAfterFailure (state.storeUpdates, ++failures));
             continue;
         }
 
         failures = 0;
-        state.news.needsList = false;
+        state.storeUpdates.mustListReplicas = false;
         takeList (state, formats, listed, reason);
         reason = co_await watchReplicas (state, store, formats, asked);
     }
--- a/tests/unit/FollowerTests.cpp
+++ b/tests/unit/FollowerTests.cpp
@@ -17,9 +17,9 @@
     explicit HearingNode (std::uint64_t oldRevision) : state (loop, ServingSettings())
     {
         const auto now = SteadyClock::now();
-        state.news.isReader = false;
-        state.news.provenAt = now;
-        state.news.newestConfiguration = 9;
+        state.storeUpdates.isReader = false;
+        state.storeUpdates.provenAt = now;
+        state.storeUpdates.newestConfigurationRevision = 9;
         state.configuration.current = configurationAt (5);
         state.configuration.provenAt = now;
 
@@ -65,7 +65,7 @@
     CHECK (node.transactions == 0);
     CHECK (node.state.configuration.current->revision == 9);
     // An old copy is no proof: nobody knows what has been written since.
-    CHECK (node.state.news.ownProvenAt == TimePoint());
+    CHECK (node.state.storeUpdates.ownProvenAt == TimePoint());
 }
 
 TEST_CASE ("where the old copy is too old the newest configuration is asked for at once")
--- a/tests/unit/QuotaFleetTests.cpp
+++ b/tests/unit/QuotaFleetTests.cpp
@@ -169,7 +169,7 @@
         node.peers.refreshRates (now);
         node.quota.noteOthersAsked (askedOfOthers (node.sharing, node.peers, now));
         const auto own = role (index);
-        const auto told = makeReport (index, scopeToTell (own), {});
+        const auto told = makeReport (index, scopeToSend (own), {});
 
         if (own == ReportRole::member)
         {
@@ -207,10 +207,10 @@
 
             const auto own = role (datagram.target);
 
-            if (! isWantedReport (own, told.scope, datagram.source == readerOf (datagram.target)))
+            if (! shouldAcceptReport (own, told.scope, datagram.source == readerOf (datagram.target)))
                 continue;
 
-            if (const auto scope = scopeToAnswer (own, told.scope, node.peers.isFirst (told)))
+            if (const auto scope = scopeToRespond (own, told.scope, node.peers.isFirst (told)))
                 send (datagram.target, datagram.source, makeReport (datagram.target, *scope, told.node));
 
             if (told.isSettled && isUnsettled (node))
@@ -219,7 +219,7 @@
                 node.sharing.isAdopted = true;
             }
 
-            node.quota.charge (node.peers.note (told, now), now);
+            node.quota.charge (node.peers.record (told, now), now);
         }
     }
 
--- a/tests/unit/ReaderTests.cpp
+++ b/tests/unit/ReaderTests.cpp
@@ -11,16 +11,16 @@
 TEST_CASE ("the newest load of a replica counts, is handed on once, and is forgotten")
 {
     SharedLoads loads;
-    CHECK (loads.note ({ 7, 3, 0, 100ms }, true, start));
-    CHECK_FALSE (loads.note ({ 7, 9, 9, 200ms }, true, start));
-    CHECK (loads.note ({ 8, 1, 0, 0ms }, false, start));
-    CHECK_FALSE (loads.note ({ 9, 1, 0, 2s }, true, start));
+    CHECK (loads.record ({ 7, 3, 0, 100ms }, true, start));
+    CHECK_FALSE (loads.record ({ 7, 9, 9, 200ms }, true, start));
+    CHECK (loads.record ({ 8, 1, 0, 0ms }, false, start));
+    CHECK_FALSE (loads.record ({ 9, 1, 0, 2s }, true, start));
 
-    const auto told = loads.takeToTell (start + 50ms);
+    const auto told = loads.takeForwardable (start + 50ms);
     REQUIRE (told.size() == 1);
     CHECK (told.front().running == 3);
     CHECK (told.front().age == 150ms);
-    CHECK (loads.takeToTell (start + 50ms).empty());
+    CHECK (loads.takeForwardable (start + 50ms).empty());
     CHECK (loads.recent (start + 50ms).size() == 2);
     CHECK (loads.recent (start + 2s).empty());
 
@@ -53,8 +53,8 @@
 
     members["alone"] = { "10.0.0.9:7600", "c" };
     const auto readers = chooseReaders (members);
-    CHECK (readers.at ("a").size() == readersADomain);
-    CHECK (readers.at ("b").size() == readersADomain);
+    CHECK (readers.at ("a").size() == readersPerDomain);
+    CHECK (readers.at ("b").size() == readersPerDomain);
     CHECK (readers.at ("c") == std::vector<std::string> { "alone" });
 
     // A reader that goes is replaced, the other one stays.
@@ -63,8 +63,8 @@
     members.erase (gone);
     CHECK (chooseReaders (members).at ("b").front() == kept);
 
-    const auto read = readMember (writeMember ({ "10.0.0.1:7600", "launceston" }));
+    const auto read = parseMember (formatMember ({ "10.0.0.1:7600", "launceston" }));
     CHECK (read.endpoint == "10.0.0.1:7600");
     CHECK (read.failureDomain == "launceston");
-    CHECK (readMember ("10.0.0.1:7600").failureDomain.empty());
+    CHECK (parseMember ("10.0.0.1:7600").failureDomain.empty());
 }
--- a/tests/unit/ReportTests.cpp
+++ b/tests/unit/ReportTests.cpp
@@ -231,12 +231,12 @@
 TEST_CASE ("a reader tells a node of all others, and the other readers of its nodes")
 {
     PeerTable peers (start);
-    peers.note (reportOf ("one", 100.0, 10.0), start);
-    peers.note (reportOf ("two", 40.0, 4.0), start);
+    peers.record (reportOf ("one", 100.0, 10.0), start);
+    peers.record (reportOf ("two", 40.0, 4.0), start);
     auto ofReader = reportOf ("reader-b", 1000.0, 100.0);
     ofReader.scope = ReportScope::nodesOfReader;
     ofReader.nodes = 5;
-    peers.note (ofReader, start);
+    peers.record (ofReader, start);
     peers.refreshRates (start);
 
     const auto nodes = peers.withNodes (reportOf ("reader-a", 7.0, 1.0), start);
@@ -257,13 +257,13 @@
 {
     PeerTable peers (start);
     auto report = reportOf ("one", 100.0, 10.0);
-    peers.note (report, start);
+    peers.record (report, start);
     report.sequence = 2;
     report.admitted.clear();
-    CHECK (peers.note (report, start + 1s).empty());
+    CHECK (peers.record (report, start + 1s).empty());
     report.sequence = 3;
     report.admitted["alpha"].tokens = 130.0;
-    CHECK (peers.note (report, start + 2s)["alpha"] == Approx (30.0));
+    CHECK (peers.record (report, start + 2s)["alpha"] == Approx (30.0));
 }
 
 TEST_CASE ("a node that changes its reader is charged only for the time in which it had none")
@@ -271,15 +271,15 @@
     PeerTable peers (start);
     auto first = reportOf ("reader-a", 10'000.0, 500.0);
     first.isSettled = true;
-    peers.note (first, start + 60s);
+    peers.record (first, start + 60s);
 
     // One second of silence is charged for, and given back: the next reader's word covers the gap.
-    CHECK (peers.assumeSilent (100ms, start + 61s)["alpha"] == Approx (50.0));
+    CHECK (peers.chargeSilentPeers (100ms, start + 61s)["alpha"] == Approx (50.0));
     CHECK (peers.forgetAll()["alpha"] == Approx (-50.0));
 
     auto second = reportOf ("reader-b", 90'000.0, 500.0);
     second.isSettled = true;
-    CHECK (peers.note (second, start + 61s)["alpha"] == Approx (500.0));
+    CHECK (peers.record (second, start + 61s)["alpha"] == Approx (500.0));
 }
 
 TEST_CASE ("a node keeps to a reader that answers, and goes on to the next one that it has")
@@ -287,20 +287,20 @@
     const std::vector own { endpointOf (1), endpointOf (2) };
     const std::vector others { endpointOf (3) };
     ReportRoute route;
-    CHECK (keepReportRoute (route, own, others, "node", {}, start));
+    CHECK (updateReportRoute (route, own, others, "node", {}, start));
     const auto first = route.reader;
-    CHECK_FALSE (keepReportRoute (route, own, others, "node", start, start + 900ms));
+    CHECK_FALSE (updateReportRoute (route, own, others, "node", start, start + 900ms));
     CHECK (route.reader == first);
 
-    CHECK (keepReportRoute (route, own, others, "node", start, start + 1200ms));
+    CHECK (updateReportRoute (route, own, others, "node", start, start + 1200ms));
     CHECK (route.reader != first);
-    CHECK_FALSE (keepReportRoute (route, own, others, "node", start, start + 1400ms));
+    CHECK_FALSE (updateReportRoute (route, own, others, "node", start, start + 1400ms));
 
-    CHECK (keepReportRoute (route, own, others, "node", start, start + 2500ms));
+    CHECK (updateReportRoute (route, own, others, "node", start, start + 2500ms));
     CHECK (route.reader == endpointOf (3));
 
     // Readers chosen anew begin anew.
-    CHECK (keepReportRoute (route, { endpointOf (5) }, others, "node", start + 2600ms, start + 2700ms));
+    CHECK (updateReportRoute (route, { endpointOf (5) }, others, "node", start + 2600ms, start + 2700ms));
     CHECK (route.reader == endpointOf (5));
 }
 
@@ -312,7 +312,7 @@
     for (auto node = 0; node < 100; ++node)
     {
         ReportRoute route;
-        keepReportRoute (route, own, {}, "front-" + std::to_string (node), {}, start);
+        updateReportRoute (route, own, {}, "front-" + std::to_string (node), {}, start);
         atFirst += route.reader == endpointOf (1) ? 1 : 0;
     }
 
@@ -331,7 +331,7 @@
     {
         INFO ("nodes " << nodes);
         std::mt19937_64 random (1);
-        std::uniform_real_distribution<double> sizes (announcedTokens, largePrompt);
+        std::uniform_real_distribution<double> sizes (minAnnouncedTokens, largePromptTokens);
         std::vector<PromptBudget> budgets (static_cast<std::size_t> (nodes));
         auto told = 0;
         auto toldLarge = 0;
@@ -347,7 +347,7 @@
                 continue;
 
             ++told;
-            toldLarge += size > 0.5 * largePrompt ? 1 : 0;
+            toldLarge += size > 0.5 * largePromptTokens ? 1 : 0;
         }
 
         // Each telling reaches every other node.
@@ -359,39 +359,39 @@
     }
 
     PromptBudget budget;
-    CHECK_FALSE (mayAnnounce (budget, announcedTokens - 1.0, 6, start));
-    CHECK (mayAnnounce (budget, announcedTokens, 6, start));
+    CHECK_FALSE (mayAnnounce (budget, minAnnouncedTokens - 1.0, 6, start));
+    CHECK (mayAnnounce (budget, minAnnouncedTokens, 6, start));
 }
 
 TEST_CASE (
     "a node is told what its role needs, takes only that, and answers only who asks or has just started")
 {
-    CHECK (reportRole (mostTellingDirectly, true) == ReportRole::direct);
-    CHECK (reportRole (mostTellingDirectly + 1, true) == ReportRole::reader);
-    CHECK (reportRole (mostTellingDirectly + 1, false) == ReportRole::member);
+    CHECK (reportRole (maxDirectNodes, true) == ReportRole::direct);
+    CHECK (reportRole (maxDirectNodes + 1, true) == ReportRole::reader);
+    CHECK (reportRole (maxDirectNodes + 1, false) == ReportRole::member);
 
     // Directly: each node for itself, and a first report is answered.
-    CHECK (scopeToTell (ReportRole::direct) == ReportScope::node);
-    CHECK (isWantedReport (ReportRole::direct, ReportScope::node, false));
-    CHECK_FALSE (isWantedReport (ReportRole::direct, ReportScope::allOthers, true));
-    CHECK_FALSE (isWantedReport (ReportRole::direct, ReportScope::nodesOfReader, false));
-    CHECK (scopeToAnswer (ReportRole::direct, ReportScope::node, true) == ReportScope::node);
-    CHECK_FALSE (scopeToAnswer (ReportRole::direct, ReportScope::node, false));
+    CHECK (scopeToSend (ReportRole::direct) == ReportScope::node);
+    CHECK (shouldAcceptReport (ReportRole::direct, ReportScope::node, false));
+    CHECK_FALSE (shouldAcceptReport (ReportRole::direct, ReportScope::allOthers, true));
+    CHECK_FALSE (shouldAcceptReport (ReportRole::direct, ReportScope::nodesOfReader, false));
+    CHECK (scopeToRespond (ReportRole::direct, ReportScope::node, true) == ReportScope::node);
+    CHECK_FALSE (scopeToRespond (ReportRole::direct, ReportScope::node, false));
 
     // A reader: each report of a member is answered; another reader's first one with its own sum.
-    CHECK (scopeToTell (ReportRole::reader) == ReportScope::nodesOfReader);
-    CHECK (isWantedReport (ReportRole::reader, ReportScope::node, false));
-    CHECK (isWantedReport (ReportRole::reader, ReportScope::nodesOfReader, false));
-    CHECK_FALSE (isWantedReport (ReportRole::reader, ReportScope::allOthers, true));
-    CHECK (scopeToAnswer (ReportRole::reader, ReportScope::node, false) == ReportScope::allOthers);
-    CHECK (scopeToAnswer (ReportRole::reader, ReportScope::nodesOfReader, true) ==
+    CHECK (scopeToSend (ReportRole::reader) == ReportScope::nodesOfReader);
+    CHECK (shouldAcceptReport (ReportRole::reader, ReportScope::node, false));
+    CHECK (shouldAcceptReport (ReportRole::reader, ReportScope::nodesOfReader, false));
+    CHECK_FALSE (shouldAcceptReport (ReportRole::reader, ReportScope::allOthers, true));
+    CHECK (scopeToRespond (ReportRole::reader, ReportScope::node, false) == ReportScope::allOthers);
+    CHECK (scopeToRespond (ReportRole::reader, ReportScope::nodesOfReader, true) ==
            ReportScope::nodesOfReader);
-    CHECK_FALSE (scopeToAnswer (ReportRole::reader, ReportScope::nodesOfReader, false));
+    CHECK_FALSE (scopeToRespond (ReportRole::reader, ReportScope::nodesOfReader, false));
 
     // A member: only its own reader's word, which is no question, not even the first one of a reader.
-    CHECK (scopeToTell (ReportRole::member) == ReportScope::node);
-    CHECK (isWantedReport (ReportRole::member, ReportScope::allOthers, true));
-    CHECK_FALSE (isWantedReport (ReportRole::member, ReportScope::allOthers, false));
-    CHECK_FALSE (isWantedReport (ReportRole::member, ReportScope::node, true));
-    CHECK_FALSE (scopeToAnswer (ReportRole::member, ReportScope::allOthers, true));
+    CHECK (scopeToSend (ReportRole::member) == ReportScope::node);
+    CHECK (shouldAcceptReport (ReportRole::member, ReportScope::allOthers, true));
+    CHECK_FALSE (shouldAcceptReport (ReportRole::member, ReportScope::allOthers, false));
+    CHECK_FALSE (shouldAcceptReport (ReportRole::member, ReportScope::node, true));
+    CHECK_FALSE (scopeToRespond (ReportRole::member, ReportScope::allOthers, true));
 }
--- a/tests/unit/ServingFixtures.h
+++ b/tests/unit/ServingFixtures.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "snowrudder_serving/directory/ReplicaDirectory.h"
-#include "snowrudder_serving/members/News.h"
+#include "snowrudder_serving/members/StoreUpdates.h"
 
 #include <set>
 #include <string>
@@ -24,9 +24,9 @@
 }
 
 /** What one node has of the store. */
-struct Knowledge
+struct StoreView
 {
-    NewsState news;
+    StoreUpdateState storeUpdates;
     ConfigurationState configuration;
     ReplicaDirectory directory;
 };
@@ -39,26 +39,26 @@
 }
 
 /** A node with a configuration of revision 5 and two replicas, proved at `start`. */
-inline auto knowing (bool isReader) -> Knowledge
+inline auto makeStoreView (bool isReader) -> StoreView
 {
-    Knowledge node;
-    node.news.isReader = isReader;
-    node.news.needsList = false;
+    StoreView node;
+    node.storeUpdates.isReader = isReader;
+    node.storeUpdates.mustListReplicas = false;
     node.configuration.current = configurationAt (5);
     node.configuration.provenAt = start;
-    node.news.ownProvenAt = start;
+    node.storeUpdates.ownProvenAt = start;
     applyList (node.directory, { { replicaEntry ("one", 3), replicaEntry ("two", 4) }, {} }, 6, start);
     return node;
 }
 
 /** Asks and is answered, with `way` between the question and its answer's arrival. */
-inline auto exchange (Knowledge& asker, const Knowledge& reader, TimePoint sent, Duration way = 1ms)
-    -> NewsEffect
+inline auto exchange (StoreView& requester, const StoreView& reader, TimePoint sent, Duration way = 1ms)
+    -> StoreUpdateEffect
 {
-    const auto question = makeQuestion (asker.news, asker.directory, "asker", sent);
-    auto answer =
-        makeAnswer (question, reader.news, reader.configuration, reader.directory, "reader", sent + way / 2);
-    return takeAnswer (asker.news, asker.configuration, asker.directory, std::move (answer), sent + way);
+    const auto query = makeStoreUpdateQuery (requester.storeUpdates, requester.directory, "asker", sent);
+    auto response =
+        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory, "reader", sent + way / 2);
+    return applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, std::move (response), sent + way);
 }
 
 inline auto namesIn (const ReplicaDirectory& directory) -> std::set<std::string>
--- a/tests/unit/ServingTests.cpp
+++ b/tests/unit/ServingTests.cpp
@@ -270,18 +270,18 @@
     report.sequence = 1;
     report.isSettled = true;
     report.admitted["alpha"].tokens = 300.0;
-    CHECK (peers.note (report, start).empty());
+    CHECK (peers.record (report, start).empty());
 
     report.sequence = 2;
     report.admitted["alpha"].tokens = 450.0;
-    CHECK (peers.note (report, start)["alpha"] == Approx (150.0));
-    CHECK (peers.note (report, start).empty());
+    CHECK (peers.record (report, start)["alpha"] == Approx (150.0));
+    CHECK (peers.record (report, start).empty());
 
     // A restart counts from zero.
     report.incarnation = 6;
     report.sequence = 1;
     report.admitted["alpha"].tokens = 20.0;
-    CHECK (peers.note (report, start)["alpha"] == Approx (20.0));
+    CHECK (peers.record (report, start)["alpha"] == Approx (20.0));
 }
 
 TEST_CASE ("all that a peer admitted counts when it is first heard just after its start")
@@ -291,11 +291,11 @@
     report.node = "one";
     report.sequence = 1;
     report.admitted["alpha"].tokens = 300.0;
-    CHECK (peers.note (report, start)["alpha"] == Approx (300.0));
+    CHECK (peers.record (report, start)["alpha"] == Approx (300.0));
 
     report.sequence = 2;
     report.isSettled = true;
-    CHECK (peers.note (report, start)["alpha"] == Approx (0.0));
+    CHECK (peers.record (report, start)["alpha"] == Approx (0.0));
 }
 
 TEST_CASE ("idle connections of all nodes take at most half of what a replica takes")
@@ -317,15 +317,15 @@
     report.node = "one";
     report.sequence = 1;
     report.admitted["alpha"] = { 100.0, 50.0 };
-    peers.note (report, start);
+    peers.record (report, start);
 
-    CHECK (peers.assumeSilent (100ms, start + 500ms).empty());
-    CHECK (peers.assumeSilent (100ms, start + 1500ms)["alpha"] == Approx (5.0));
-    CHECK (peers.assumeSilent (100ms, start + 10s).empty());
+    CHECK (peers.chargeSilentPeers (100ms, start + 500ms).empty());
+    CHECK (peers.chargeSilentPeers (100ms, start + 1500ms)["alpha"] == Approx (5.0));
+    CHECK (peers.chargeSilentPeers (100ms, start + 10s).empty());
 
     report.sequence = 2;
     report.admitted["alpha"].tokens = 130.0;
-    CHECK (peers.note (report, start + 11s)["alpha"] == Approx (25.0));
+    CHECK (peers.record (report, start + 11s)["alpha"] == Approx (25.0));
 }
 
 TEST_CASE ("usage counts of a node outlive its restart, and come from two readers of a domain once")
--- a/tests/unit/NewsRunTests.cpp
+++ b/tests/unit/StoreUpdateRunTests.cpp
@@ -60,10 +60,10 @@
 };
 
 /** Two readers and a node that asks them in turn, with answers lost and late. */
-class NewsRun
+class StoreUpdateRun
 {
 public:
-    explicit NewsRun (unsigned seed) : random (seed) {}
+    explicit StoreUpdateRun (unsigned seed) : random (seed) {}
 
     auto play() -> void
     {
@@ -78,7 +78,7 @@
         for (const auto& [name, at] : store.stored)
             names.insert (name);
 
-        REQUIRE (namesIn (asker.directory) == names);
+        REQUIRE (namesIn (requester.directory) == names);
     }
 
 private:
@@ -102,11 +102,11 @@
             ask (isSettling);
 
         // Nothing newer than the asker's configuration existed at the time that its proof names.
-        if (asker.configuration.current->revision < revisionOf (configurationChanged))
-            REQUIRE (asker.configuration.provenAt <= configurationChanged);
+        if (requester.configuration.current->revision < revisionOf (configurationChanged))
+            REQUIRE (requester.configuration.provenAt <= configurationChanged);
     }
 
-    auto read (Knowledge& reader) -> void
+    auto read (StoreView& reader) -> void
     {
         if (chance (10))
             store.listedBy (reader.directory, now, ListReason::afterGap);
@@ -118,26 +118,26 @@
 
         reader.configuration.current = configurationAt (revisionOf (configurationChanged));
         reader.configuration.provenAt = now;
-        reader.news.ownProvenAt = now;
+        reader.storeUpdates.ownProvenAt = now;
     }
 
     auto ask (bool isSettling) -> void
     {
         const auto which = random() % readers.size();
         const auto& reader = readers[which];
-        const auto question = makeQuestion (asker.news, asker.directory, "asker", now);
-        auto answer = makeAnswer (question, reader.news, reader.configuration, reader.directory,
+        const auto query = makeStoreUpdateQuery (requester.storeUpdates, requester.directory, "asker", now);
+        auto response = makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory,
                                   std::to_string (which), now);
         const auto way = std::chrono::milliseconds (isSettling ? 1 : random() % 2000);
-        takeAnswer (asker.news, asker.configuration, asker.directory, std::move (answer), now + way);
+        applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, std::move (response), now + way);
 
-        if (asker.news.newestConfiguration > asker.configuration.current->revision)
-            asker.configuration.current = configurationAt (asker.news.newestConfiguration);
+        if (requester.storeUpdates.newestConfigurationRevision > requester.configuration.current->revision)
+            requester.configuration.current = configurationAt (requester.storeUpdates.newestConfigurationRevision);
 
-        if (asker.news.needsList)
-            store.listedBy (asker.directory, now, ListReason::afterGap);
+        if (requester.storeUpdates.mustListReplicas)
+            store.listedBy (requester.directory, now, ListReason::afterGap);
 
-        asker.news.needsList = false;
+        requester.storeUpdates.mustListReplicas = false;
     }
 
     [[nodiscard]] static auto revisionOf (TimePoint changed) -> std::uint64_t
@@ -148,8 +148,8 @@
 
     std::mt19937 random;
     StoreModel store;
-    std::array<Knowledge, 2> readers { knowing (true), knowing (true) };
-    Knowledge asker = knowing (false);
+    std::array<StoreView, 2> readers { makeStoreView (true), makeStoreView (true) };
+    StoreView requester = makeStoreView (false);
     TimePoint now = start;
     TimePoint configurationChanged = start;
 };
@@ -161,6 +161,6 @@
     for (auto seed = 1U; seed <= 300; ++seed)
     {
         CAPTURE (seed);
-        NewsRun (seed).play();
+        StoreUpdateRun (seed).play();
     }
 }
--- /dev/null
+++ b/tests/unit/StoreUpdateTests.cpp
@@ -0,0 +1,417 @@
+#include "ServingFixtures.h"
+
+#include "snowrudder_serving/members/DatagramCodec.h"
+
+#include <catch2/catch.hpp>
+
+using namespace snowrudder;
+using namespace snowrudder::tests;
+
+TEST_CASE ("a proof that is handed on counts from its question, however late the answer comes")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    requester.configuration.provenAt = start - 10s;
+    reader.configuration.provenAt = start + 1s;
+
+    // The answer lies in a paused process for three seconds.
+    exchange (requester, reader, start + 2s, 3s);
+    CHECK (requester.configuration.provenAt <= start + 1s);
+    CHECK (requester.configuration.provenAt >= start - 1s);
+}
+
+TEST_CASE ("only an answer to a question of one's own is taken, and once")
+{
+    const auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    requester.configuration.provenAt = start - 10s;
+    const auto query = makeStoreUpdateQuery (requester.storeUpdates, requester.directory, "asker", start);
+    const auto response =
+        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory, "reader", start);
+
+    auto strange = response;
+    strange.number = 77;
+    applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, strange, start);
+    CHECK (requester.configuration.provenAt == start - 10s);
+
+    applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, response, start);
+    CHECK (requester.configuration.provenAt == start);
+    requester.configuration.provenAt = start - 10s;
+    applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, response, start);
+    CHECK (requester.configuration.provenAt == start - 10s);
+}
+
+TEST_CASE ("a proof of another configuration proves nothing, and a newer one is asked for")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    requester.configuration.provenAt = start - 1s;
+    reader.configuration.current = configurationAt (8);
+
+    CHECK (exchange (requester, reader, start).newerConfiguration);
+    CHECK (requester.configuration.provenAt == start - 1s);
+    CHECK (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start));
+
+    // Told once: the node has been woken for it.
+    CHECK_FALSE (exchange (requester, reader, start).newerConfiguration);
+    requester.configuration.current = configurationAt (8);
+    CHECK_FALSE (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start));
+
+    reader.configuration.current = configurationAt (5);
+    reader.configuration.provenAt = start + 1s;
+    exchange (requester, reader, start + 1s);
+    CHECK (requester.configuration.provenAt == start - 1s);
+}
+
+// A node whose readers fell silent asked the store at its next usual look, up to 0.9 s late, and refused with a proof 2.9 s old.
+TEST_CASE (
+    "a proof is overdue at the same time as the news that it rests on, and a node's own word renews it")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    exchange (requester, reader, start);
+    CHECK (proofOverdueAt (requester.storeUpdates, requester.configuration) == start + storeUpdateAgeLimit);
+    CHECK_FALSE (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit - 1ms));
+    CHECK (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit));
+    CHECK_FALSE (mayReadStaleConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit));
+
+    // News of replicas alone do not prove the configuration.
+    requester.storeUpdates.provenAt = start + 1s;
+    CHECK (proofOverdueAt (requester.storeUpdates, requester.configuration) == start + storeUpdateAgeLimit);
+
+    requester.storeUpdates.ownProvenAt = start + 2s;
+    requester.configuration.provenAt = start + 2s;
+    CHECK (proofOverdueAt (requester.storeUpdates, requester.configuration) == start + 2s + storeUpdateAgeLimit);
+}
+
+TEST_CASE ("a node asks the store itself when its readers are silent or have no news themselves")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    CHECK (mustQueryStore (requester.storeUpdates, start));
+
+    exchange (requester, reader, start);
+    CHECK_FALSE (mustQueryStore (requester.storeUpdates, start + storeUpdateAgeLimit - 1ms));
+    CHECK (mustQueryStore (requester.storeUpdates, start + storeUpdateAgeLimit + 1ms));
+
+    // The reader is cut off: its answers come, and prove nothing new.
+    exchange (requester, reader, start + 2s);
+    CHECK (mustQueryStore (requester.storeUpdates, start + 2s));
+    CHECK (mustQueryStore (reader.storeUpdates, start));
+}
+
+TEST_CASE ("before there is a configuration nodes leave it to their readers to look for one")
+{
+    // Hundreds of nodes are started seconds before the operators write the first one.
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    reader.configuration = requester.configuration = ConfigurationState();
+
+    exchange (requester, reader, start);
+    CHECK_FALSE (mustQueryStore (requester.storeUpdates, start));
+    CHECK_FALSE (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start));
+    CHECK (mustCheckConfiguration (reader.storeUpdates, reader.configuration, start));
+
+    // The first one is heard of, by the news or by a report, and told on even where it could not be read yet.
+    reader.configuration.current = configurationAt (5);
+    exchange (requester, reader, start + 200ms);
+    CHECK (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start + 200ms));
+    CHECK (newestKnownConfigurationRevision (requester.storeUpdates, requester.configuration) == 5);
+}
+
+TEST_CASE ("a reader that has just started and listed no replicas has no news of them")
+{
+    StoreView reader;
+    auto requester = makeStoreView (false);
+    reader.storeUpdates.ownProvenAt = start + 1s;
+
+    exchange (requester, reader, start + 1s);
+    CHECK (mustQueryStore (requester.storeUpdates, start + 1s));
+    CHECK_FALSE (requester.storeUpdates.mustListReplicas);
+}
+
+TEST_CASE ("a node that has listed the replicas waits for its readers' news before it watches")
+{
+    StoreUpdateState storeUpdates;
+    storeUpdates.isReader = false;
+    CHECK_FALSE (mustWatchReplicas (storeUpdates, start, start + storeUpdateAgeLimit));
+    CHECK (mustWatchReplicas (storeUpdates, start, start + storeUpdateAgeLimit + 1ms));
+
+    // News came, and ended.
+    storeUpdates.provenAt = start + 1s;
+    CHECK_FALSE (mustWatchReplicas (storeUpdates, start, start + 1s + storeUpdateAgeLimit));
+    CHECK (mustWatchReplicas (storeUpdates, start, start + 1s + storeUpdateAgeLimit + 1ms));
+
+    storeUpdates.isReader = true;
+    CHECK (mustWatchReplicas (storeUpdates, start, start));
+}
+
+TEST_CASE ("a reader that has proofs from others but not their changes of replicas is no source of them")
+{
+    // Found by a hunt: a node followed a reader that was cut off, and sent to a leaving replica for 2.8 s.
+    auto source = makeStoreView (true);
+    auto cutOff = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    source.configuration.provenAt = source.storeUpdates.ownProvenAt = start + 4s;
+    source.directory.removalsKnownAfter = 9;
+    exchange (cutOff, source, start + 4s);
+    CHECK (cutOff.configuration.provenAt > start + 3s);
+
+    exchange (requester, cutOff, start + 4s);
+    CHECK (requester.configuration.provenAt > start + 3s);
+    CHECK (mustQueryStore (requester.storeUpdates, start + 4s));
+}
+
+TEST_CASE ("changes of replicas are handed on after what the asker knows")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    applyEntry (reader.directory, replicaEntry ("three", 7));
+    applyRemoval (reader.directory, "replicas/one", { 8, false }, start);
+    reader.directory.revision = 9;
+
+    CHECK (exchange (requester, reader, start).directory);
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "two", "three" });
+    CHECK (requester.directory.revision == 9);
+    CHECK_FALSE (exchange (requester, reader, start).directory);
+
+    // A reader that is behind brings nothing back.
+    const auto behind = makeStoreView (true);
+    exchange (requester, behind, start);
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "two", "three" });
+}
+
+TEST_CASE ("many changes are told the oldest first, and the rest when asked again")
+{
+    constexpr auto count = 100U;
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+
+    for (auto number = 0U; number < count; ++number)
+        applyEntry (reader.directory, replicaEntry ("more-" + std::to_string (number), 10 + number));
+
+    reader.directory.revision = 200;
+    exchange (requester, reader, start);
+    CHECK (requester.directory.entries.size() < count);
+    CHECK (requester.directory.entries.contains ("replicas/more-0"));
+
+    exchange (requester, reader, start);
+    exchange (requester, reader, start);
+    CHECK (requester.directory.entries.size() == count + 2);
+    CHECK (requester.directory.revision == 200);
+}
+
+TEST_CASE ("the fullest answer fits a datagram and comes back as it was")
+{
+    constexpr auto count = 200U;
+    auto reader = makeStoreView (true);
+    StoreUpdateState storeUpdates;
+
+    for (auto number = 0U; number < count; ++number)
+    {
+        auto entry = replicaEntry ("instance-" + std::to_string (1000000 + number), 10 + number);
+        entry.info.endpoint = "10.100.100." + std::to_string (number) + ":65000";
+        entry.info.failureDomain = "launceston-north";
+        entry.isReclaimable = true;
+        applyEntry (reader.directory, std::move (entry));
+    }
+
+    const auto query = makeStoreUpdateQuery (storeUpdates, {}, "asker", start);
+    const auto response =
+        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory, "reader", start + 1500us);
+    const auto datagram = encodeMessage (response, "secret");
+    CHECK (datagram.size() <= maxDatagramSize);
+
+    const auto message = decodeMessage (datagram, "secret");
+    REQUIRE (message);
+    const auto* read = std::get_if<StoreUpdateResponse> (&*message);
+    REQUIRE (read != nullptr);
+    // An age is never rounded down.
+    CHECK (read->proofAge == 2ms);
+    CHECK (read->changes.entries.size() == response.changes.entries.size());
+    CHECK (read->changes.entries.front().info.endpoint == response.changes.entries.front().info.endpoint);
+    CHECK (read->changes.entries.front().isReclaimable);
+    CHECK (read->changes.revision == response.changes.revision);
+}
+
+TEST_CASE ("a node that knows less than the removals kept has to list")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    reader.directory.removalsKnownAfter = 7;
+    exchange (requester, reader, start);
+    CHECK (requester.storeUpdates.mustListReplicas);
+    CHECK (mustQueryStore (requester.storeUpdates, start));
+
+    // A reader lists in turn anyway.
+    auto other = makeStoreView (true);
+    exchange (other, reader, start);
+    CHECK_FALSE (other.storeUpdates.mustListReplicas);
+}
+
+TEST_CASE ("a node need not list for a reader that has just started while the other one tells all changes")
+{
+    auto reader = makeStoreView (true);
+    auto restarted = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    restarted.directory.removalsKnownAfter = 7;
+    exchange (requester, reader, start);
+    exchange (requester, restarted, start + 200ms);
+    CHECK_FALSE (requester.storeUpdates.mustListReplicas);
+
+    // The other one falls silent.
+    restarted.storeUpdates.ownProvenAt = start + 1500ms;
+    exchange (requester, restarted, start + 1500ms);
+    CHECK (requester.storeUpdates.mustListReplicas);
+}
+
+TEST_CASE ("changes that a reader had missed make the others list")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    reader.directory.revision = 9;
+    exchange (requester, reader, start);
+    CHECK_FALSE (requester.storeUpdates.mustListReplicas);
+
+    // A watch was silent about revision 8; the list tells.
+    applyList (reader.directory, { { replicaEntry ("one", 3), replicaEntry ("two", 8) }, {} }, 10, start,
+               ListReason::check);
+    CHECK (reader.directory.missedChanges == 1);
+    exchange (requester, reader, start);
+    CHECK (requester.storeUpdates.mustListReplicas);
+}
+
+TEST_CASE ("an entry that lapses in an outage is kept for as long as the reader keeps it")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    reader.directory.keepMissingUntil = start + lapseTime;
+    applyRemoval (reader.directory, "replicas/one", { 8, false }, start);
+    reader.directory.revision = 8;
+
+    exchange (requester, reader, start);
+    CHECK (requester.directory.entries.at ("replicas/one").isMissing);
+
+    // Each answer keeps it on until the reader gives it up.
+    for (auto passed = 200ms; passed < 1200ms; passed += 200ms)
+    {
+        CHECK_FALSE (dropMissing (requester.directory, start + passed));
+        exchange (requester, reader, start + passed);
+    }
+
+    // It is back.
+    applyEntry (reader.directory, replicaEntry ("one", 9));
+    reader.directory.revision = 9;
+    exchange (requester, reader, start + 1200ms);
+    CHECK_FALSE (dropMissing (requester.directory, start + lapseTime + 1s));
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "one", "two" });
+}
+
+TEST_CASE ("a reader that alone is cut off makes nobody keep replicas that are gone")
+{
+    // Found by a hunt: the cut reader took the store for away, and its followers kept a removed replica for 2.8 s.
+    auto source = makeStoreView (true);
+    auto cutOff = makeStoreView (true);
+    auto requester = makeStoreView (false);
+    cutOff.directory.keepMissingUntil = TimePoint::max();
+    exchange (requester, cutOff, start + 500ms);
+    CHECK (requester.directory.keepMissingUntil <= start + 1200ms);
+
+    // Others have the store: the cut node learns so, and so do those that follow it.
+    source.storeUpdates.ownProvenAt = source.configuration.provenAt = start + 2s;
+    applyRemoval (source.directory, "replicas/one", { 8, false }, start + 2s);
+    source.directory.revision = 8;
+    exchange (cutOff, source, start + 2s);
+    CHECK_FALSE (cutOff.directory.entries.contains ("replicas/one"));
+    exchange (requester, cutOff, start + 2100ms);
+    CHECK (requester.directory.keepMissingUntil <= start + 2200ms);
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "two" });
+}
+
+TEST_CASE ("an entry that can't be read any more names no replica, here and where it is told, until it can "
+           "be read again")
+{
+    auto reader = makeStoreView (true);
+    auto requester = makeStoreView (false);
+
+    // Not even right after an outage, when entries that go are kept for a while.
+    reader.directory.keepMissingUntil = start + 10s;
+    applyRemoval (reader.directory, "replicas/one", { 8, true }, start);
+    reader.directory.revision = 8;
+    CHECK (namesIn (reader.directory) == std::set<std::string> { "two" });
+
+    exchange (requester, reader, start);
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "two" });
+
+    // A list says the same, and the others hold.
+    applyList (reader.directory, { { replicaEntry ("two", 4) }, { { "replicas/one", { 8, true } } } }, 8,
+               start, ListReason::check);
+    CHECK (namesIn (reader.directory) == std::set<std::string> { "two" });
+
+    applyEntry (reader.directory, replicaEntry ("one", 10));
+    reader.directory.revision = 10;
+    exchange (requester, reader, start + 1s);
+    CHECK (namesIn (requester.directory) == std::set<std::string> { "one", "two" });
+}
+
+TEST_CASE ("a late write of a replica's earlier start does not bring it back")
+{
+    auto node = makeStoreView (true);
+    auto entry = replicaEntry ("one", 7);
+    entry.info.born = 2000;
+    applyEntry (node.directory, entry);
+    entry.revision = 8;
+    entry.info.born = 1000;
+    entry.isLeaving = true;
+    applyEntry (node.directory, entry);
+    CHECK (node.directory.entries.at ("replicas/one").info.born == 2000);
+    CHECK_FALSE (node.directory.entries.at ("replicas/one").isLeaving);
+
+    // Told on with the replica.
+    auto requester = makeStoreView (false);
+    node.directory.revision = 8;
+    exchange (requester, node, start);
+    CHECK (requester.directory.entries.at ("replicas/one").info.born == 2000);
+}
+
+TEST_CASE ("a node lists the members only when a reader's list differs from its own, or no reader tells")
+{
+    StoreUpdateState storeUpdates;
+    storeUpdates.isReader = false;
+    CHECK (mustListMembers (storeUpdates, start));
+    storeUpdates.membersHash = 5;
+    storeUpdates.readerMembersHash = 5;
+    storeUpdates.readerMembersHashAt = start;
+    CHECK_FALSE (mustListMembers (storeUpdates, start + readerMembersValidity));
+    CHECK (mustListMembers (storeUpdates, start + readerMembersValidity + 1ms));
+    storeUpdates.readerMembersHash = 6;
+    CHECK (mustListMembers (storeUpdates, start));
+    storeUpdates.readerMembersHash = 5;
+    storeUpdates.isReader = true;
+    CHECK (mustListMembers (storeUpdates, start));
+}
+
+TEST_CASE (
+    "a node whose reader can't read a newer configuration hears of it, though its other news stay fresh")
+{
+    auto reader = makeStoreView (true);
+    auto member = makeStoreView (false);
+    auto elsewhere = makeStoreView (true);
+    elsewhere.configuration.current = configurationAt (9);
+
+    // The store turns the reader away; another reader's word keeps its knowledge of the replicas fresh.
+    const auto later = start + 3s;
+    elsewhere.storeUpdates.ownProvenAt = later;
+    exchange (reader, elsewhere, later);
+    exchange (member, reader, later + 10ms);
+    REQUIRE_FALSE (mustQueryStore (member.storeUpdates, later + 20ms));
+    REQUIRE (member.configuration.current->revision == 5);
+
+    // What it reports, in answer to the member's own report.
+    const auto told = newestKnownConfigurationRevision (reader.storeUpdates, reader.configuration);
+    CHECK (told == 9);
+    CHECK (recordPeerConfigurationRevision (member.storeUpdates, member.configuration, told));
+    CHECK (mustCheckConfiguration (member.storeUpdates, member.configuration, later + 20ms));
+
+    CHECK (newestKnownConfigurationRevision (StoreUpdateState(), ConfigurationState()) == 0);
+}
