--- a/modules/snowrudder_serving/members/DatagramCodec.h
+++ b/modules/snowrudder_serving/members/DatagramCodec.h
@@ -20,7 +20,8 @@
 
 /** The messages that nodes exchange by datagram. */
 using NodeMessage =
-    std::variant<PeerReport, StoreUpdateQuery, StoreUpdateResponse, LoadNotice, PromptNotice, UsageNotice, CrashNotice>;
+    std::variant<PeerReport, StoreUpdateQuery, StoreUpdateResponse, LoadNotice, PromptNotice, UsageNotice,
+                 CrashNotice>;
 
 /** @returns a serialized crash notice. Times are encoded as ages relative to `now`. */
 auto encodeCrashes (const CrashNotice& notice, TimePoint now) -> std::string;
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -177,8 +177,8 @@
 {
     const auto now = SteadyClock::now();
     recordLoads (query.loads, true);
-    auto response =
-        makeStoreUpdateResponse (query, state.storeUpdates, state.configuration, state.directory, state.settings.node, now);
+    auto response = makeStoreUpdateResponse (query, state.storeUpdates, state.configuration, state.directory,
+                                             state.settings.node, now);
     response.loads = state.loads.recent (now);
     response.rollouts = state.rollouts.table.all();
     response.areRolloutsKnown = state.rollouts.table.isKnown;
@@ -202,8 +202,8 @@
     for (const auto& rollout : response.rollouts)
         state.rollouts.take (rollout, response.node);
 
-    const auto effect =
-        applyStoreUpdateResponse (state.storeUpdates, state.configuration, state.directory, std::move (response), now);
+    const auto effect = applyStoreUpdateResponse (state.storeUpdates, state.configuration, state.directory,
+                                                  std::move (response), now);
 
     if (effect.directory)
         state.publishDirectory (now);
@@ -483,7 +483,7 @@
     }
 
     if (updateReportRoute (route, membership.ownReaders(), membership.otherReaders(), state.settings.node,
-                         state.peers.lastReceived(), now))
+                           state.peers.lastReceived(), now))
     {
         state.quota.charge (state.peers.forgetAll(), now);
         LogLine ("reports_to_reader")
--- a/modules/snowrudder_serving/members/StoreUpdates.cpp
+++ b/modules/snowrudder_serving/members/StoreUpdates.cpp
@@ -26,7 +26,8 @@
 */
 auto takeOpenQuery (StoreUpdateState& storeUpdates, std::uint64_t number) -> std::optional<TimePoint>
 {
-    const auto found = std::ranges::find (storeUpdates.openQueries, number, &StoreUpdateState::SentQuery::number);
+    const auto found =
+        std::ranges::find (storeUpdates.openQueries, number, &StoreUpdateState::SentQuery::number);
 
     if (found == storeUpdates.openQueries.end())
         return {};
@@ -47,8 +48,9 @@
 
 } // namespace
 
-auto recordPeerConfigurationRevision (StoreUpdateState& storeUpdates, const ConfigurationState& configuration, std::uint64_t revision)
-    -> bool
+auto recordPeerConfigurationRevision (StoreUpdateState& storeUpdates,
+                                      const ConfigurationState& configuration,
+                                      std::uint64_t revision) -> bool
 {
     if (revision <= storeUpdates.newestConfigurationRevision)
         return false;
@@ -57,14 +59,17 @@
     return configuration.current && configuration.current->revision < revision;
 }
 
-auto newestKnownConfigurationRevision (const StoreUpdateState& storeUpdates, const ConfigurationState& configuration)
-    -> std::uint64_t
+auto newestKnownConfigurationRevision (const StoreUpdateState& storeUpdates,
+                                       const ConfigurationState& configuration) -> std::uint64_t
 {
-    return std::max (configuration.current ? configuration.current->revision : 0, storeUpdates.newestConfigurationRevision);
+    return std::max (configuration.current ? configuration.current->revision : 0,
+                     storeUpdates.newestConfigurationRevision);
 }
 
-auto makeStoreUpdateQuery (StoreUpdateState& storeUpdates, const ReplicaDirectory& directory, std::string node, TimePoint now)
-    -> StoreUpdateQuery
+auto makeStoreUpdateQuery (StoreUpdateState& storeUpdates,
+                           const ReplicaDirectory& directory,
+                           std::string node,
+                           TimePoint now) -> StoreUpdateQuery
 {
     storeUpdates.openQueries.push_back ({ ++storeUpdates.lastQueryNumber, now });
 
@@ -75,11 +80,11 @@
 }
 
 auto makeStoreUpdateResponse (const StoreUpdateQuery& query,
-                 const StoreUpdateState& storeUpdates,
-                 const ConfigurationState& configuration,
-                 const ReplicaDirectory& directory,
-                 std::string node,
-                 TimePoint now) -> StoreUpdateResponse
+                              const StoreUpdateState& storeUpdates,
+                              const ConfigurationState& configuration,
+                              const ReplicaDirectory& directory,
+                              std::string node,
+                              TimePoint now) -> StoreUpdateResponse
 {
     StoreUpdateResponse response;
     response.node = std::move (node);
@@ -103,10 +108,10 @@
 }
 
 auto applyStoreUpdateResponse (StoreUpdateState& storeUpdates,
-                 ConfigurationState& configuration,
-                 ReplicaDirectory& directory,
-                 StoreUpdateResponse response,
-                 TimePoint now) -> StoreUpdateEffect
+                               ConfigurationState& configuration,
+                               ReplicaDirectory& directory,
+                               StoreUpdateResponse response,
+                               TimePoint now) -> StoreUpdateEffect
 {
     StoreUpdateEffect effect;
     const auto sent = takeOpenQuery (storeUpdates, response.number);
@@ -122,7 +127,8 @@
 
     const auto provenAt = *sent - response.proofAge;
     const auto directoryProvenAt = *sent - response.directoryAge;
-    effect.newerConfiguration = recordPeerConfigurationRevision (storeUpdates, configuration, response.configurationRevision);
+    effect.newerConfiguration =
+        recordPeerConfigurationRevision (storeUpdates, configuration, response.configurationRevision);
 
     if (configuration.current && configuration.current->revision == response.configurationRevision)
         configuration.provenAt = std::max (configuration.provenAt, provenAt);
@@ -134,7 +140,8 @@
 
     // A reader relies on its own store calls, unless it alone is cut off.
     const auto isRecent = now - directoryProvenAt <= storeUpdateOverdueAge;
-    const auto followsResponse = ! storeUpdates.isReader || now - storeUpdates.ownProvenAt > storeUpdateOverdueAge;
+    const auto followsResponse =
+        ! storeUpdates.isReader || now - storeUpdates.ownProvenAt > storeUpdateOverdueAge;
 
     if (followsResponse && isRecent && response.changes.isComplete)
         directory.keepMissingUntil = now + response.keepMissing;
--- a/modules/snowrudder_serving/members/StoreUpdates.h
+++ b/modules/snowrudder_serving/members/StoreUpdates.h
@@ -107,7 +107,8 @@
     is due at exactly this time: left to the next regular check, the response could arrive up to one check interval
     later, after the proof has expired.
 */
-inline auto proofOverdueAt (const StoreUpdateState& storeUpdates, const ConfigurationState& configuration) -> TimePoint
+inline auto proofOverdueAt (const StoreUpdateState& storeUpdates, const ConfigurationState& configuration)
+    -> TimePoint
 {
     const auto updatedAt = std::max (storeUpdates.provenAt, storeUpdates.ownProvenAt);
     return std::min (updatedAt, configuration.provenAt) + storeUpdateAgeLimit;
@@ -122,7 +123,8 @@
 */
 inline auto mustListMembers (const StoreUpdateState& storeUpdates, TimePoint now) -> bool
 {
-    return storeUpdates.isReader || storeUpdates.membersHash == 0 || storeUpdates.readerMembersHash != storeUpdates.membersHash ||
+    return storeUpdates.isReader || storeUpdates.membersHash == 0 ||
+           storeUpdates.readerMembersHash != storeUpdates.membersHash ||
            now - storeUpdates.readerMembersHashAt > readerMembersValidity;
 }
 
@@ -155,19 +157,21 @@
     a change need the newest response. Of 522 such responses 447 were recent enough, and they cost a tenth of the price.
 */
 inline auto mayReadStaleConfiguration (const StoreUpdateState& storeUpdates,
-                                     const ConfigurationState& configuration,
-                                     TimePoint now) -> bool
+                                       const ConfigurationState& configuration,
+                                       TimePoint now) -> bool
 {
     const auto isOverdue = now >= proofOverdueAt (storeUpdates, configuration);
-    return mustCheckConfiguration (storeUpdates, configuration, now) && ! mustQueryStore (storeUpdates, now) && ! isOverdue;
+    return mustCheckConfiguration (storeUpdates, configuration, now) && ! mustQueryStore (storeUpdates, now) &&
+           ! isOverdue;
 }
 
 /** Records the configuration revision that another node announced.
 
     @returns whether it is newer than this node's and than all revisions announced before
 */
-auto recordPeerConfigurationRevision (StoreUpdateState& storeUpdates, const ConfigurationState& configuration, std::uint64_t revision)
-    -> bool;
+auto recordPeerConfigurationRevision (StoreUpdateState& storeUpdates,
+                                      const ConfigurationState& configuration,
+                                      std::uint64_t revision) -> bool;
 
 /** @returns the newest configuration revision that this node holds or that was announced to it; 0 if there is none.
     Reports carry this revision instead of the node's own: a reader that the store refuses learns of a newer
@@ -175,20 +179,22 @@
     followers, which received only the reader's own revision, queried nobody else, and one kept an old configuration for
     4.7 s.
 */
-auto newestKnownConfigurationRevision (const StoreUpdateState& storeUpdates, const ConfigurationState& configuration)
-    -> std::uint64_t;
+auto newestKnownConfigurationRevision (const StoreUpdateState& storeUpdates,
+                                       const ConfigurationState& configuration) -> std::uint64_t;
 
 /** @returns the next query, recorded as open and sent now. */
-auto makeStoreUpdateQuery (StoreUpdateState& storeUpdates, const ReplicaDirectory& directory, std::string node, TimePoint now)
-    -> StoreUpdateQuery;
+auto makeStoreUpdateQuery (StoreUpdateState& storeUpdates,
+                           const ReplicaDirectory& directory,
+                           std::string node,
+                           TimePoint now) -> StoreUpdateQuery;
 
 /** @returns the response to a query, without loads and roll-outs. */
 auto makeStoreUpdateResponse (const StoreUpdateQuery& query,
-                 const StoreUpdateState& storeUpdates,
-                 const ConfigurationState& configuration,
-                 const ReplicaDirectory& directory,
-                 std::string node,
-                 TimePoint now) -> StoreUpdateResponse;
+                              const StoreUpdateState& storeUpdates,
+                              const ConfigurationState& configuration,
+                              const ReplicaDirectory& directory,
+                              std::string node,
+                              TimePoint now) -> StoreUpdateResponse;
 
 /** What a response changed. */
 struct StoreUpdateEffect
@@ -202,9 +208,9 @@
     is.
 */
 auto applyStoreUpdateResponse (StoreUpdateState& storeUpdates,
-                 ConfigurationState& configuration,
-                 ReplicaDirectory& directory,
-                 StoreUpdateResponse response,
-                 TimePoint now) -> StoreUpdateEffect;
+                               ConfigurationState& configuration,
+                               ReplicaDirectory& directory,
+                               StoreUpdateResponse response,
+                               TimePoint now) -> StoreUpdateEffect;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/store/StoreFollowers.cpp
+++ b/modules/snowrudder_serving/store/StoreFollowers.cpp
@@ -299,7 +299,8 @@
         // configuration; it need not watch before.
         const auto servesNobody = ! state.sharing.members || ! state.configuration.current;
 
-        if ((servesNobody && isNewNode (state.sharing, now)) || ! mustWatchReplicas (state.storeUpdates, listedAt, now))
+        if ((servesNobody && isNewNode (state.sharing, now)) ||
+            ! mustWatchReplicas (state.storeUpdates, listedAt, now))
         {
             co_await pauseFor (state.loop, idlePause);
             continue;
--- a/tests/unit/ServingFixtures.h
+++ b/tests/unit/ServingFixtures.h
@@ -56,9 +56,10 @@
     -> StoreUpdateEffect
 {
     const auto query = makeStoreUpdateQuery (requester.storeUpdates, requester.directory, "asker", sent);
-    auto response =
-        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory, "reader", sent + way / 2);
-    return applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, std::move (response), sent + way);
+    auto response = makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory,
+                                             "reader", sent + way / 2);
+    return applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory,
+                                     std::move (response), sent + way);
 }
 
 inline auto namesIn (const ReplicaDirectory& directory) -> std::set<std::string>
--- a/tests/unit/StoreUpdateRunTests.cpp
+++ b/tests/unit/StoreUpdateRunTests.cpp
@@ -129,7 +129,8 @@
         auto response = makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory,
                                   std::to_string (which), now);
         const auto delay = std::chrono::milliseconds (isSettling ? 1 : random() % 2000);
-        applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory, std::move (response), now + delay);
+        applyStoreUpdateResponse (requester.storeUpdates, requester.configuration, requester.directory,
+                                  std::move (response), now + delay);
 
         if (requester.storeUpdates.newestConfigurationRevision > requester.configuration.current->revision)
             requester.configuration.current = configurationAt (requester.storeUpdates.newestConfigurationRevision);
--- a/tests/unit/StoreUpdateTests.cpp
+++ b/tests/unit/StoreUpdateTests.cpp
@@ -65,16 +65,17 @@
 
 // Guards against a check that is left to the next regular one: a node whose readers fell silent then queried the store
 // up to 0.9 s late, and refused requests because its proof was 2.9 s old.
-TEST_CASE (
-    "a proof is overdue at the same time as the store update it came with, and a response of the store renews it")
+TEST_CASE ("a proof is overdue together with its store update, and a response of the store renews it")
 {
     auto reader = makeStoreView (true);
     auto requester = makeStoreView (false);
     exchange (requester, reader, start);
     CHECK (proofOverdueAt (requester.storeUpdates, requester.configuration) == start + storeUpdateAgeLimit);
-    CHECK_FALSE (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit - 1ms));
+    CHECK_FALSE (mustCheckConfiguration (requester.storeUpdates, requester.configuration,
+                                         start + storeUpdateAgeLimit - 1ms));
     CHECK (mustCheckConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit));
-    CHECK_FALSE (mayReadStaleConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit));
+    CHECK_FALSE (
+        mayReadStaleConfiguration (requester.storeUpdates, requester.configuration, start + storeUpdateAgeLimit));
 
     // Updates of replicas alone don't prove the configuration.
     requester.storeUpdates.provenAt = start + 1s;
@@ -148,7 +149,7 @@
     CHECK (mustWatchReplicas (storeUpdates, start, start));
 }
 
-TEST_CASE ("a reader with proofs from other nodes but without their changes of replicas is no source of changes")
+TEST_CASE ("a reader with proofs but without changes of replicas from other nodes is no source of changes")
 {
     // Otherwise a node that relies on a reader that is cut off sends requests to a leaving replica, for 2.8 s in one
     // case.
@@ -221,7 +222,8 @@
 
     const auto query = makeStoreUpdateQuery (storeUpdates, {}, "asker", start);
     const auto response =
-        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory, "reader", start + 1500us);
+        makeStoreUpdateResponse (query, reader.storeUpdates, reader.configuration, reader.directory,
+                                 "reader", start + 1500us);
     const auto datagram = encodeMessage (response, "secret");
     CHECK (datagram.size() <= maxDatagramSize);
 
@@ -378,7 +380,7 @@
     CHECK (requester.directory.entries.at ("replicas/one").info.born == 2000);
 }
 
-TEST_CASE ("a node lists the members only when a reader's list differs from its own, or no reader sends its hash")
+TEST_CASE ("a node lists the members only if a reader's list differs or no reader sends its hash")
 {
     StoreUpdateState storeUpdates;
     storeUpdates.isReader = false;
