--- a/modules/snowrudder_admin/store/EditProcedure.cpp
+++ b/modules/snowrudder_admin/store/EditProcedure.cpp
@@ -100,7 +100,7 @@
     switch (step)
     {
         case Step::readHead:
-            return takeHead (answer);
+            return processHead (answer);
         case Step::searchHistory:
             return takeSearch (answer);
         case Step::readSlot:
@@ -115,7 +115,7 @@
     }
 }
 
-auto EditProcedure::takeHead (const StoreAnswer& answer) -> void
+auto EditProcedure::processHead (const StoreAnswer& answer) -> void
 {
     auto stored = answer.outcome == WriteOutcome::done ? readStoredTree (answer.value) : std::nullopt;
 
--- a/modules/snowrudder_admin/store/EditProcedure.h
+++ b/modules/snowrudder_admin/store/EditProcedure.h
@@ -121,7 +121,7 @@
         readBackHistory
     };
 
-    auto takeHead (const StoreAnswer& answer) -> void;
+    auto processHead (const StoreAnswer& answer) -> void;
     auto takeSearch (const StoreAnswer& answer) -> void;
     auto takeSlot (const StoreAnswer& answer) -> void;
     auto takeHeadWritten (const StoreAnswer& answer) -> void;
--- a/modules/snowrudder_requests/record/RequestRecord.cpp
+++ b/modules/snowrudder_requests/record/RequestRecord.cpp
@@ -235,7 +235,7 @@
 {
     const std::lock_guard lock (mutex);
     counts = first;
-    tokensSoFar = answerTokens;
+    prefixTokens = answerTokens;
 }
 
 auto RequestRecord::takeForHandover() -> std::optional<HandedState>
@@ -246,7 +246,7 @@
     if (! request || (reached != RecordState::open && ! isUnread))
         return {};
 
-    HandedState handed { about, boost::json::serialize (request->body), answer, counts, tokensSoFar };
+    HandedState handed { about, boost::json::serialize (request->body), answer, counts, prefixTokens };
 
     // A whole answer can still be read here; its caller may come when this router is gone.
     if (isUnread)
--- a/modules/snowrudder_requests/record/RequestRecord.h
+++ b/modules/snowrudder_requests/record/RequestRecord.h
@@ -201,7 +201,7 @@
     std::optional<KeptAnswer> kept;
     Problem failure;
     std::shared_ptr<const ChatRequest> request;
-    std::uint32_t tokensSoFar = 0;
+    std::uint32_t prefixTokens = 0;
     std::vector<std::shared_ptr<Signal>> readers;
     std::size_t furthestRead = 0;
     std::optional<TimePoint> unreadSince;
--- a/modules/snowrudder_router/Router.cpp
+++ b/modules/snowrudder_router/Router.cpp
@@ -85,7 +85,7 @@
 {
     auto& worker = workers.front();
     const auto crashWake = std::make_shared<Signal> (worker.loop.get_executor());
-    state.crashes.onNews = [crashWake] { crashWake->notify(); };
+    state.crashes.onNewEvidence = [crashWake] { crashWake->notify(); };
     asio::co_spawn (worker.loop, followTree (state, worker), asio::detached);
     asio::co_spawn (worker.loop, spreadTree (state, worker), asio::detached);
     asio::co_spawn (worker.loop, spreadCrashes (state, worker, crashWake), asio::detached);
--- a/modules/snowrudder_router/gateway/CallerScope.cpp
+++ b/modules/snowrudder_router/gateway/CallerScope.cpp
@@ -65,12 +65,12 @@
     if (judgement.verdict != CrashVerdict::stopped)
         return {};
 
-    state.crashes.noteStopped (fingerprint, requestId, judgement, now);
+    state.crashes.reportStopped (fingerprint, requestId, judgement, now);
     const auto mayHaveRun = false;
     return problemWhenStopped (mayHaveRun);
 }
 
-auto problemOf (const ServiceQueues::Place& place) -> Problem
+auto problemOf (const ServiceQueues::PermitOutcome& place) -> Problem
 {
     auto problem = makeProblem (ErrorKind::overloaded);
     problem.retryAfter = place.retryAfter;
--- a/modules/snowrudder_router/gateway/CallerScope.h
+++ b/modules/snowrudder_router/gateway/CallerScope.h
@@ -60,7 +60,7 @@
     -> std::optional<Problem>;
 
 /** @returns a problem for a request that got no place in the queue. */
-auto problemOf (const ServiceQueues::Place& place) -> Problem;
+auto problemOf (const ServiceQueues::PermitOutcome& place) -> Problem;
 
 /** Writes the log line of a routing decision. */
 auto logDecision (std::string_view requestId,
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -100,11 +100,11 @@
     const auto mostQueued =
         service->settings.has_queue_limit() ? service->settings.queue_limit() : usualQueue;
     const auto place =
-        co_await state.queues.enter (service->name, wanted, mostQueued, worker.loop.get_executor());
+        co_await state.queues.acquire (service->name, wanted, mostQueued, worker.loop.get_executor());
 
     if (place.granted)
     {
-        const PlaceGuard guard (state.queues, service->name, account->name);
+        const PermitGuard guard (state.queues, service->name, account->name);
         co_await runAttempts();
     }
     else
@@ -128,7 +128,7 @@
         const auto after = co_await replicaAfter (*outcome);
         const auto decision = afterFailure (*outcome);
 
-        attemptFailed (idText, attempts, *outcome, decision)
+        attemptFailedLine (idText, attempts, *outcome, decision)
             .with ("replica", lastReplica.name)
             .with ("replica_address", after)
             .with ("fingerprint", toString (fingerprint))
@@ -152,12 +152,12 @@
 
     if (judgement.verdict == CrashVerdict::stopped)
     {
-        state.crashes.noteStopped (fingerprint, idText, judgement, SteadyClock::now());
+        state.crashes.reportStopped (fingerprint, idText, judgement, SteadyClock::now());
         co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
     }
 
     state.counts.attempts.add();
-    const CrashWatch::Running running (state.crashes, fingerprint);
+    const CrashMonitor::RunningAttempt running (state.crashes, fingerprint);
 
     ChoiceInput input;
     input.blocks = blocks;
@@ -199,7 +199,7 @@
     if (outcome && outcome->cause == FailureCause::moved)
         co_await exportCache (ticket.info);
 
-    state.replicas.release (ticket, outcome ? healthOf (*outcome) : AttemptHealth::good, SteadyClock::now());
+    state.replicas.release (ticket, outcome ? attemptHealthOf (*outcome) : AttemptHealth::good, SteadyClock::now());
 
     earlierTokens += attemptTokens;
     attemptTokens = 0;
@@ -218,7 +218,7 @@
     if (! mayShowCrash (outcome))
         co_return "not_asked";
 
-    WatchedAttempt ended { fingerprint, idText, account->name, lastNumber, lastReplica, SteadyClock::now() };
+    InterruptedAttempt ended { fingerprint, idText, account->name, lastNumber, lastReplica, SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
 
@@ -235,7 +235,7 @@
     const auto wanted = engineRequest();
 
     if (const auto error = co_await call.sendAndReadHeader (wanted))
-        co_return AttemptOutcome { call.stage(), causeOr (failureOf (error)) };
+        co_return AttemptOutcome { call.stage(), causeOr (failureCauseOf (error)) };
 
     if (call.status() != static_cast<unsigned> (http::status::ok))
         co_return co_await takeRefusal (call);
@@ -271,7 +271,7 @@
         co_await waitForPace();
 
         if (const auto error = co_await call.readSome (piece))
-            co_return AttemptOutcome { call.stage(), causeOr (failureOf (error)) };
+            co_return AttemptOutcome { call.stage(), causeOr (failureCauseOf (error)) };
 
         lastRead = SteadyClock::now();
 
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -90,7 +90,7 @@
 
     // All routers are told directly by the one that saw a crash.
     const auto isToTell = false;
-    state.crashes.hear (heard->evidence, heard->node, isToTell, now);
+    state.crashes.receiveEvidence (heard->evidence, heard->node, isToTell, now);
     return encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
 }
 
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -30,7 +30,7 @@
     const auto failed = [&] (FailureCause cause)
     {
         const AttemptOutcome outcome { call.stage(), cause };
-        answer->health = healthOf (outcome);
+        answer->health = attemptHealthOf (outcome);
         return outcome;
     };
 
@@ -41,13 +41,13 @@
         co_return failed (FailureCause::connectFailed);
 
     if (const auto error = co_await call.sendAndReadHeader (input.request))
-        co_return failed (failureOf (error));
+        co_return failed (failureCauseOf (error));
 
     if (isRefusal (*input.service, call.status()))
         co_return failed (FailureCause::refused);
 
     if (const auto bodyError = co_await readAhead (call, answer->body))
-        co_return failed (failureOf (bodyError));
+        co_return failed (failureCauseOf (bodyError));
 
     co_return answer;
 }
@@ -70,7 +70,7 @@
     if (outcome == nullptr || ! mayShowCrash (*outcome))
         co_return "not_asked";
 
-    WatchedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
+    InterruptedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
                            ticket.number,     ticket.info,         SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
@@ -105,7 +105,7 @@
 
         if (judgement.verdict == CrashVerdict::stopped)
         {
-            state.crashes.noteStopped (input.fingerprint, idText, judgement, SteadyClock::now());
+            state.crashes.reportStopped (input.fingerprint, idText, judgement, SteadyClock::now());
             co_return problemWhenStopped (retry.mayHaveRun);
         }
 
@@ -115,7 +115,7 @@
                                    {});
 
         state.counts.attempts.add();
-        const CrashWatch::Running running (state.crashes, input.fingerprint);
+        const CrashMonitor::RunningAttempt running (state.crashes, input.fingerprint);
         ChoiceInput choice;
         choice.tried = tried;
         const SuspectRanking ranking (state.crashes.table(), input.fingerprint, judgement, 0.0);
@@ -150,7 +150,7 @@
         if (decision.again && decision.takesBudget)
             decision.again = state.retryBudgets.take (input.account->name, input.service->name);
 
-        attemptFailed (idText, attempt, outcome, decision).with ("replica_address", after).info();
+        attemptFailedLine (idText, attempt, outcome, decision).with ("replica_address", after).info();
 
         if (! decision.again)
             co_return problemAfter (outcome, decision);
--- a/modules/snowrudder_router/plain/PlainHandler.cpp
+++ b/modules/snowrudder_router/plain/PlainHandler.cpp
@@ -125,7 +125,7 @@
 };
 
 auto enterQueue (RouterState& state, Worker& worker, const PlainCallInput& input)
-    -> Task<ServiceQueues::Place>
+    -> Task<ServiceQueues::PermitOutcome>
 {
     constexpr auto usualQueue = std::uint32_t { 256 };
     constexpr auto bytesAWorkUnit = 1024.0;
@@ -137,7 +137,7 @@
     queued.cost = 1.0 + static_cast<double> (input.request.body().size()) / bytesAWorkUnit;
     queued.deadline = turnDeadline (*input.service, SteadyClock::now(), input.deadline);
     const auto mostQueued = settings.has_queue_limit() ? settings.queue_limit() : usualQueue;
-    return state.queues.enter (input.service->name, std::move (queued), mostQueued,
+    return state.queues.acquire (input.service->name, std::move (queued), mostQueued,
                                worker.loop.get_executor());
 }
 
@@ -178,7 +178,7 @@
         co_return;
     }
 
-    const PlaceGuard guard (state.queues, input.service->name, input.account->name);
+    const PermitGuard guard (state.queues, input.service->name, input.account->name);
     auto result = co_await callPlainService (state, worker, input);
 
     if (const auto* problem = std::get_if<Problem> (&result))
@@ -209,7 +209,7 @@
         co_return;
     }
 
-    const PlaceGuard guard (state.queues, input.service->name, input.account->name);
+    const PermitGuard guard (state.queues, input.service->name, input.account->name);
     auto result = co_await callPlainService (state, worker, input);
 
     if (auto* problem = std::get_if<Problem> (&result))
--- a/modules/snowrudder_router/state/RouterState.h
+++ b/modules/snowrudder_router/state/RouterState.h
@@ -29,7 +29,7 @@
     explicit RouterState (const schema::RouterSettings& routerSettings)
         : settings (routerSettings), timeouts (routerTimeouts (routerSettings)),
           limits (serverLimits (routerSettings)), counts (metrics),
-          crashes (metrics, replicas, ReplicaNaming::places),
+          crashes (metrics, replicas, ReplicaNaming::reusedAcrossRestarts),
           requests (timeouts.keepAnswer,
                     routerSettings.has_kept_answer_bytes() ? routerSettings.kept_answer_bytes()
                                                            : usualKeptBytes),
@@ -97,7 +97,7 @@
     Metrics metrics;
     RouterMetrics counts;
     ReplicaTable replicas;
-    CrashWatch crashes;
+    CrashMonitor crashes;
     RequestTable requests;
     AccountLimiter accounts;
     ServiceQueues queues;
--- a/modules/snowrudder_serving/attempt/AttemptErrors.cpp
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.cpp
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-auto failureOf (std::error_code error) -> FailureCause
+auto failureCauseOf (std::error_code error) -> FailureCause
 {
     if (error == std::errc::timed_out)
         return FailureCause::timedOut;
@@ -18,7 +18,7 @@
     return isHttp && ! isEnd ? FailureCause::invalid : FailureCause::cut;
 }
 
-auto healthOf (const AttemptOutcome& outcome) -> AttemptHealth
+auto attemptHealthOf (const AttemptOutcome& outcome) -> AttemptHealth
 {
     switch (outcome.cause)
     {
@@ -43,7 +43,7 @@
     return AttemptHealth::neutral;
 }
 
-auto attemptFailed (std::string_view requestId,
+auto attemptFailedLine (std::string_view requestId,
                     std::uint32_t attempt,
                     const AttemptOutcome& outcome,
                     const RetryDecision& decision) -> LogLine
--- a/modules/snowrudder_serving/attempt/AttemptErrors.h
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.h
@@ -11,13 +11,13 @@
 {
 
 /** @returns the failure that an error of a call step stands for. */
-auto failureOf (std::error_code error) -> FailureCause;
+auto failureCauseOf (std::error_code error) -> FailureCause;
 
 /** @returns what a failed attempt says of its replica's health. */
-auto healthOf (const AttemptOutcome& outcome) -> AttemptHealth;
+auto attemptHealthOf (const AttemptOutcome& outcome) -> AttemptHealth;
 
 /** @returns the log line of an attempt that came to nothing, to be written. */
-auto attemptFailed (std::string_view requestId,
+auto attemptFailedLine (std::string_view requestId,
                     std::uint32_t attempt,
                     const AttemptOutcome& outcome,
                     const RetryDecision& decision) -> LogLine;
--- a/modules/snowrudder_serving/configuration/ConfigurationState.h
+++ b/modules/snowrudder_serving/configuration/ConfigurationState.h
@@ -19,7 +19,7 @@
 struct FreshnessBounds
 {
     /** The operators' bound on the use of a revoked key. */
-    Duration revocation = 5s;
+    Duration revocationTime = 5s;
     /** Kept back for timers that fire late and clocks that differ in speed: measured timers fire within 20 ms. */
     Duration margin = 200ms;
 };
@@ -40,7 +40,7 @@
 /** @returns whether a key that this node holds valid cannot have been revoked longer ago than the bound. */
 inline auto isFresh (const ConfigurationState& state, const FreshnessBounds& bounds, TimePoint now) -> bool
 {
-    return state.current && now - state.provenAt <= bounds.revocation - bounds.margin;
+    return state.current && now - state.provenAt <= bounds.revocationTime - bounds.margin;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/crashes/CrashWatch.cpp
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.cpp
@@ -1,4 +1,4 @@
-#include "CrashWatch.h"
+#include "CrashMonitor.h"
 
 #include <algorithm>
 
@@ -9,10 +9,10 @@
 {
 
 /** An entry goes after three missed heartbeats, and a little later where the store is slow. */
-constexpr auto doubtTime = Duration (8s);
+constexpr auto unconfirmedTimeout = Duration (8s);
 
 /** Attempts in doubt that are kept: a replica's slots times the replicas of a failure domain. */
-constexpr auto mostDoubts = std::size_t { 512 };
+constexpr auto maxUnconfirmed = std::size_t { 512 };
 
 auto toString (CrashVerdict verdict) -> std::string_view
 {
@@ -33,14 +33,14 @@
 
 } // namespace
 
-CrashWatch::CrashWatch (Metrics& metrics, ReplicaTable& replicaTable, ReplicaNaming replicaNaming)
+CrashMonitor::CrashMonitor (Metrics& metrics, ReplicaTable& replicaTable, ReplicaNaming replicaNaming)
     : replicas (replicaTable), naming (replicaNaming),
-      crashesSeen (metrics.counter ("snowrudder_crashes_under_requests_total")),
+      confirmedCrashes (metrics.counter ("snowrudder_crashes_under_requests_total")),
       requestsStopped (metrics.counter ("snowrudder_requests_stopped_total"))
 {
 }
 
-auto CrashWatch::examine (SharedProbes& probes, WatchedAttempt attempt) -> Task<std::string_view>
+auto CrashMonitor::examine (SharedProbes& probes, InterruptedAttempt attempt) -> Task<std::string_view>
 {
     if (replicas.isLeaving (attempt.number))
         co_return "leaving";
@@ -55,49 +55,49 @@
 
     if (const auto proof = crashProof (listing, state); ! proof.empty())
     {
-        noteCrash (attempt, proof);
+        confirmCrash (attempt, proof);
     }
     else
     {
-        noteOpenEnd (attempt);
-        noteDoubt (std::move (attempt));
+        reportOpenEnd (attempt);
+        addUnconfirmed (std::move (attempt));
     }
 
     co_return snowrudder::toString (state);
 }
 
-auto CrashWatch::lookAgain (SharedProbes& probes, TimePoint now) -> void
+auto CrashMonitor::recheckUnconfirmed (SharedProbes& probes, TimePoint now) -> void
 {
     for (const auto& end : crashes.openEnds (now))
-        if (const auto heard = replicas.heardOf (end.replica))
-            crashes.noteAlive (end.replica, *heard);
+        if (const auto received = replicas.heardOf (end.replica))
+            crashes.noteAlive (end.replica, *received);
 
-    std::vector<WatchedAttempt> inDoubt;
+    std::vector<InterruptedAttempt> pendingAttempts;
 
     {
         const std::lock_guard lock (mutex);
-        inDoubt.swap (doubts);
+        pendingAttempts.swap (unconfirmedAttempts);
     }
 
-    std::unordered_map<ReplicaNumber, std::vector<WatchedAttempt>> lapsed;
+    std::unordered_map<ReplicaNumber, std::vector<InterruptedAttempt>> lapsed;
 
-    for (auto& attempt : inDoubt)
+    for (auto& attempt : pendingAttempts)
     {
         const auto listing = replicas.listing (attempt.number);
 
         if (const auto proof = crashProof (listing, EndpointState::accepts); ! proof.empty())
-            noteCrash (attempt, proof);
+            confirmCrash (attempt, proof);
         else if (listing == ReplicaListing::gone)
             lapsed[attempt.number].push_back (std::move (attempt));
-        else if (listing == ReplicaListing::listed && now - attempt.ended <= doubtTime)
-            noteDoubt (std::move (attempt));
+        else if (listing == ReplicaListing::listed && now - attempt.ended <= unconfirmedTimeout)
+            addUnconfirmed (std::move (attempt));
     }
 
     for (auto& [number, attempts] : lapsed)
-        asio::co_spawn (probes.executor(), examineLapsed (probes, std::move (attempts)), asio::detached);
+        asio::co_spawn (probes.executor(), probeLapsedReplica (probes, std::move (attempts)), asio::detached);
 }
 
-auto CrashWatch::examineLapsed (SharedProbes& probes, std::vector<WatchedAttempt> lapsed) -> Task<void>
+auto CrashMonitor::probeLapsedReplica (SharedProbes& probes, std::vector<InterruptedAttempt> lapsed) -> Task<void>
 {
     const auto& replica = lapsed.front().replica;
     const auto address = co_await probes.probeListener (replica.endpoint);
@@ -114,22 +114,22 @@
         co_return;
 
     for (const auto& attempt : lapsed)
-        noteCrash (attempt, proof);
+        confirmCrash (attempt, proof);
 }
 
-auto CrashWatch::hear (const std::vector<CrashEvidence>& heard,
+auto CrashMonitor::receiveEvidence (const std::vector<CrashEvidence>& received,
                        std::string_view from,
-                       bool isToTell,
+                       bool shouldForward,
                        TimePoint now) -> void
 {
-    auto isNews = false;
+    auto isNew = false;
 
-    for (const auto& evidence : heard)
+    for (const auto& evidence : received)
     {
-        if (! crashes.hear (evidence, isToTell, now))
+        if (! crashes.hear (evidence, shouldForward, now))
             continue;
 
-        isNews = true;
+        isNew = true;
 
         for (const auto& crash : evidence.crashes)
             replicas.noteEnded (crash.replica, crash.at);
@@ -145,11 +145,11 @@
             .info();
     }
 
-    if (isNews && onNews)
-        onNews();
+    if (isNew && onNewEvidence)
+        onNewEvidence();
 }
 
-auto CrashWatch::noteStopped (const RequestFingerprint& request,
+auto CrashMonitor::reportStopped (const RequestFingerprint& request,
                               std::string_view requestId,
                               const CrashJudgement& judgement,
                               TimePoint now) -> void
@@ -164,10 +164,10 @@
         .info();
 }
 
-auto CrashWatch::waitForVerdict (asio::io_context& loop,
+auto CrashMonitor::waitForVerdict (asio::io_context& loop,
                                  RequestFingerprint request,
                                  std::string service,
-                                 std::function<bool()> isOver) -> Task<CrashJudgement>
+                                 std::function<bool()> isCancelled) -> Task<CrashJudgement>
 {
     auto judgement = crashes.judge (request, SteadyClock::now());
 
@@ -179,7 +179,7 @@
     }
 
     while (judgement.verdict != CrashVerdict::clear &&
-           mustWait (judgement, surroundings (request, service)) && ! isOver())
+           mustWait (judgement, suspectConditions (request, service)) && ! isCancelled())
     {
         co_await pauseFor (loop, verdictLook);
         judgement = crashes.judge (request, SteadyClock::now());
@@ -188,23 +188,23 @@
     co_return judgement;
 }
 
-CrashWatch::Running::Running (CrashWatch& crashWatch, const RequestFingerprint& request)
-    : watch (crashWatch), fingerprint (request)
+CrashMonitor::RunningAttempt::RunningAttempt (CrashMonitor& crashMonitor, const RequestFingerprint& request)
+    : monitor (crashMonitor), fingerprint (request)
 {
-    const std::lock_guard lock (watch.mutex);
-    ++watch.running[fingerprint];
+    const std::lock_guard lock (monitor.mutex);
+    ++monitor.running[fingerprint];
 }
 
-CrashWatch::Running::~Running()
+CrashMonitor::RunningAttempt::~RunningAttempt()
 {
-    const std::lock_guard lock (watch.mutex);
-    const auto found = watch.running.find (fingerprint);
+    const std::lock_guard lock (monitor.mutex);
+    const auto found = monitor.running.find (fingerprint);
 
     if (--found->second == 0)
-        watch.running.erase (found);
+        monitor.running.erase (found);
 }
 
-auto noteSizes (Metrics& metrics, const CrashTable::Sizes& sizes) -> void
+auto publishSizes (Metrics& metrics, const CrashTable::Sizes& sizes) -> void
 {
     metrics.gauge ("snowrudder_requests_with_crashes", "verdict=\"any\"")
         .set (static_cast<std::int64_t> (sizes.known));
@@ -212,13 +212,13 @@
         .set (static_cast<std::int64_t> (sizes.stopped));
 }
 
-auto CrashWatch::noteCrash (const WatchedAttempt& attempt, std::string_view proof) -> void
+auto CrashMonitor::confirmCrash (const InterruptedAttempt& attempt, std::string_view proof) -> void
 {
-    const auto crash = endOf (attempt);
+    const auto crash = toReplicaCrash (attempt);
     replicas.noteEnded (crash.replica, crash.at);
-    const auto isNews = crashes.noteCrash (attempt.request, attempt.account, crash);
+    const auto isNew = crashes.noteCrash (attempt.request, attempt.account, crash);
     const auto judgement = crashes.judge (attempt.request, SteadyClock::now());
-    crashesSeen.add();
+    confirmedCrashes.add();
     LogLine ("crash_evidence")
         .with ("request", attempt.requestId)
         .with ("fingerprint", snowrudder::toString (attempt.request))
@@ -230,25 +230,25 @@
         .with ("verdict", toString (judgement.verdict))
         .info();
 
-    if (isNews && onNews)
-        onNews();
+    if (isNew && onNewEvidence)
+        onNewEvidence();
 }
 
-auto CrashWatch::noteOpenEnd (const WatchedAttempt& attempt) -> void
+auto CrashMonitor::reportOpenEnd (const InterruptedAttempt& attempt) -> void
 {
-    const auto isNews =
-        crashes.noteOpenEnd (attempt.request, attempt.account, endOf (attempt), SteadyClock::now());
+    const auto isNew =
+        crashes.noteOpenEnd (attempt.request, attempt.account, toReplicaCrash (attempt), SteadyClock::now());
 
-    if (isNews && onNews)
-        onNews();
+    if (isNew && onNewEvidence)
+        onNewEvidence();
 }
 
-auto CrashWatch::endOf (const WatchedAttempt& attempt) const -> ReplicaCrash
+auto CrashMonitor::toReplicaCrash (const InterruptedAttempt& attempt) const -> ReplicaCrash
 {
-    return { incarnationHash (attempt.replica), attempt.ended, naming == ReplicaNaming::starts };
+    return { incarnationHash (attempt.replica), attempt.ended, naming == ReplicaNaming::uniquePerStart };
 }
 
-auto CrashWatch::noteDoubt (WatchedAttempt attempt) -> void
+auto CrashMonitor::addUnconfirmed (InterruptedAttempt attempt) -> void
 {
     const std::lock_guard lock (mutex);
 
@@ -256,13 +256,13 @@
         return;
 
     // The latest tell most: the oldest are about to be given up.
-    if (doubts.size() >= mostDoubts)
-        doubts.erase (doubts.begin());
+    if (unconfirmedAttempts.size() >= maxUnconfirmed)
+        unconfirmedAttempts.erase (unconfirmedAttempts.begin());
 
-    doubts.push_back (std::move (attempt));
+    unconfirmedAttempts.push_back (std::move (attempt));
 }
 
-auto CrashWatch::surroundings (const RequestFingerprint& request, const std::string& service) const
+auto CrashMonitor::suspectConditions (const RequestFingerprint& request, const std::string& service) const
     -> SuspectSurroundings
 {
     SuspectSurroundings around;
--- a/modules/snowrudder_serving/crashes/CrashWatch.h
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.h
@@ -17,7 +17,7 @@
 {
 
 /** An attempt on a replica, as far as the replica's end concerns it. */
-struct WatchedAttempt
+struct InterruptedAttempt
 {
     RequestFingerprint request;
     /** Of this one request, for the log. */
@@ -33,38 +33,38 @@
 enum class ReplicaNaming
 {
     /** A place, in which it may start again. */
-    places,
+    reusedAcrossRestarts,
     /** One start: a replica that starts again has another name. */
-    starts
+    uniquePerStart
 };
 
 /** Finds out which requests ran on replicas as these crashed, and keeps what that says against them. An end of a connection
     alone proves no crash: answers get lost, links are reset, and replicas end after a planned drain. Any thread may call it.
 */
-class CrashWatch
+class CrashMonitor
 {
 public:
-    CrashWatch (Metrics& metrics, ReplicaTable& replicaTable, ReplicaNaming replicaNaming);
+    CrashMonitor (Metrics& metrics, ReplicaTable& replicaTable, ReplicaNaming replicaNaming);
 
     /** Looks whether the replica of an attempt whose connection ended has crashed, and notes the evidence.
 
         @returns what was found, for the log
     */
-    auto examine (SharedProbes& probes, WatchedAttempt attempt) -> Task<std::string_view>;
+    auto examine (SharedProbes& probes, InterruptedAttempt attempt) -> Task<std::string_view>;
 
     /** Looks again at the replicas that could not be told to have crashed: their entries may have gone, or another replica may
         have their address. Call some times a second.
 
         @param probes  of the loop that this is called on; the addresses of entries that are gone are asked in the background
     */
-    auto lookAgain (SharedProbes& probes, TimePoint now) -> void;
+    auto recheckUnconfirmed (SharedProbes& probes, TimePoint now) -> void;
 
     /** Takes in what another node told.
 
         @param from      the node, for the log
-        @param isToTell  whether this node hands on what is new
+        @param shouldForward  whether this node hands on what is new
     */
-    auto hear (const std::vector<CrashEvidence>& heard, std::string_view from, bool isToTell, TimePoint now)
+    auto receiveEvidence (const std::vector<CrashEvidence>& received, std::string_view from, bool shouldForward, TimePoint now)
         -> void;
 
     /** @returns whether a request may be sent to a replica now. */
@@ -74,7 +74,7 @@
     }
 
     /** Notes and logs that a request was not sent because of a verdict. */
-    auto noteStopped (const RequestFingerprint& request,
+    auto reportStopped (const RequestFingerprint& request,
                       std::string_view requestId,
                       const CrashJudgement& judgement,
                       TimePoint now) -> void;
@@ -83,54 +83,54 @@
         it lets other nodes' evidence arrive first.
 
         @param service  that would run it
-        @param isOver   whether nobody waits for the answer any more
+        @param isCancelled   whether nobody waits for the answer any more
     */
     auto waitForVerdict (asio::io_context& loop,
                          RequestFingerprint request,
                          std::string service,
-                         std::function<bool()> isOver) -> Task<CrashJudgement>;
+                         std::function<bool()> isCancelled) -> Task<CrashJudgement>;
 
     [[nodiscard]] auto table() -> CrashTable& { return crashes; }
 
     /** Counts an attempt as running for as long as it lives. */
-    class Running
+    class RunningAttempt
     {
     public:
-        Running (CrashWatch& crashWatch, const RequestFingerprint& request);
-        ~Running();
+        RunningAttempt (CrashMonitor& crashMonitor, const RequestFingerprint& request);
+        ~RunningAttempt();
 
-        Running (const Running&) = delete;
-        auto operator= (const Running&) -> Running& = delete;
+        RunningAttempt (const RunningAttempt&) = delete;
+        auto operator= (const RunningAttempt&) -> RunningAttempt& = delete;
 
     private:
-        CrashWatch& watch;
+        CrashMonitor& monitor;
         RequestFingerprint fingerprint;
     };
 
     /** Called when there is something to tell other nodes. Set once, before the first request. */
-    std::function<void()> onNews;
+    std::function<void()> onNewEvidence;
 
 private:
-    auto noteCrash (const WatchedAttempt& attempt, std::string_view proof) -> void;
-    auto noteOpenEnd (const WatchedAttempt& attempt) -> void;
-    auto noteDoubt (WatchedAttempt attempt) -> void;
-    [[nodiscard]] auto endOf (const WatchedAttempt& attempt) const -> ReplicaCrash;
+    auto confirmCrash (const InterruptedAttempt& attempt, std::string_view proof) -> void;
+    auto reportOpenEnd (const InterruptedAttempt& attempt) -> void;
+    auto addUnconfirmed (InterruptedAttempt attempt) -> void;
+    [[nodiscard]] auto toReplicaCrash (const InterruptedAttempt& attempt) const -> ReplicaCrash;
     /** @param lapsed  attempts on one replica whose entry is gone */
-    auto examineLapsed (SharedProbes& probes, std::vector<WatchedAttempt> lapsed) -> Task<void>;
-    [[nodiscard]] auto surroundings (const RequestFingerprint& request, const std::string& service) const
+    auto probeLapsedReplica (SharedProbes& probes, std::vector<InterruptedAttempt> lapsed) -> Task<void>;
+    [[nodiscard]] auto suspectConditions (const RequestFingerprint& request, const std::string& service) const
         -> SuspectSurroundings;
 
     ReplicaTable& replicas;
     const ReplicaNaming naming;
-    Counter& crashesSeen;
+    Counter& confirmedCrashes;
     Counter& requestsStopped;
     CrashTable crashes;
     mutable std::mutex mutex;
-    std::vector<WatchedAttempt> doubts;
+    std::vector<InterruptedAttempt> unconfirmedAttempts;
     std::unordered_map<RequestFingerprint, std::size_t, FingerprintHash> running;
 };
 
 /** Sets the gauges of requests under which replicas ended. */
-auto noteSizes (Metrics& metrics, const CrashTable::Sizes& sizes) -> void;
+auto publishSizes (Metrics& metrics, const CrashTable::Sizes& sizes) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/crashes/SuspectRanking.h
+++ b/modules/snowrudder_serving/crashes/SuspectRanking.h
@@ -22,11 +22,11 @@
                     const CrashJudgement& judgement,
                     double promptTokens)
         : isSuspect (judgement.verdict != CrashVerdict::clear), block { anchorOf (request) }, blockTokens {
-              std::max (promptTokens, leastTokens)
+              std::max (promptTokens, minimumTokens)
           }
     {
         if (isSuspect && judgement.crashes >= crashesToPause)
-            others = crashes.suspectAnchors();
+            otherSuspects = crashes.suspectAnchors();
     }
 
     /** Changes nothing for a request that is clear. The input refers to this object from then on. */
@@ -40,17 +40,17 @@
         input.anchorBlock = 0;
         input.promptTokens = blockTokens.front();
         input.ownTokens = 0.0;
-        input.apartFrom = others;
+        input.apartFrom = otherSuspects;
     }
 
 private:
     /** What a prompt has at least, for its rank to weigh more than small differences of load. */
-    static constexpr auto leastTokens = 2000.0;
+    static constexpr auto minimumTokens = 2000.0;
 
     bool isSuspect = false;
     std::array<std::uint64_t, 1> block;
     std::array<double, 1> blockTokens;
-    std::vector<std::uint64_t> others;
+    std::vector<std::uint64_t> otherSuspects;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -1,6 +1,6 @@
 #include "RoutedGateway.h"
 
-#include "../relay/RoutedRun.h"
+#include "../relay/RoutedRequestRunner.h"
 
 namespace snowrudder
 {
@@ -9,25 +9,25 @@
 {
 
 /** A node without a configuration, or without a proof of its freshness, looks for one several times a second. */
-constexpr auto freshnessRetry = 500ms;
+constexpr auto freshnessRetryDelay = 500ms;
 
 /** A node that starts has its configuration, the replicas and the list of nodes 15 to 110 ms later (seven nodes started
     together); 440 to 520 ms later with a large configuration and a tenth of a core or 20 Mbit/s (69 of 77). Until then it lets
     requests wait rather than send them away for longer; beyond this it tells them to come back.
 */
-constexpr auto startPatience = 600ms;
+constexpr auto startWaitLimit = 600ms;
 
 /** Of the time that a caller gives, the part that its request may wait for a node that has just started. */
-constexpr auto startShareOfPatience = 0.25;
+constexpr auto startShareOfTimeLimit = 0.25;
 
 /** How often a waiting request looks whether its node can decide. */
-constexpr auto startLook = 5ms;
+constexpr auto startPollInterval = 5ms;
 
 /** Another node takes the request as soon as the caller asks it. */
-constexpr auto leavingRetry = 10ms;
+constexpr auto leavingRetryDelay = 10ms;
 
 /** @returns the account of a request that names a valid key, or why it is refused. */
-auto accountOf (const ServingState& state, const CallerRequest& caller, const Route& route, TimePoint now)
+auto authenticate (const ServingState& state, const CallerRequest& caller, const Route& route, TimePoint now)
     -> std::variant<std::shared_ptr<const RoutedAccount>, Problem>
 {
     const auto& configuration = *state.configuration.current;
@@ -37,7 +37,7 @@
 
     if (! isFresh (state.configuration, state.freshness, now))
         return withRetry (makeProblem (ErrorKind::noReplica, "the configuration may be out of date"),
-                          freshnessRetry);
+                          freshnessRetryDelay);
 
     auto account = findAccount (configuration, caller.key);
 
@@ -47,9 +47,9 @@
     return account;
 }
 
-auto tokensOf (const CallerRequest& caller, const RoutedAccount& account) -> double
+auto quotaTokens (const CallerRequest& caller, const RoutedAccount& account) -> double
 {
-    return caller.statesTokens ? caller.promptTokens + caller.answerTokens : account.plainTokens;
+    return caller.hasTokenCounts ? caller.promptTokens + caller.answerTokens : account.plainTokens;
 }
 
 /** @returns why a request is not taken that ended the replicas that ran it. It takes nothing from its account's limit. */
@@ -63,19 +63,19 @@
     if (judgement.verdict != CrashVerdict::stopped)
         return {};
 
-    state.crashes.noteStopped (fingerprint, caller.id, judgement, now);
+    state.crashes.reportStopped (fingerprint, caller.id, judgement, now);
     return makeProblem (ErrorKind::crashesReplicas, "fingerprint " + toString (fingerprint));
 }
 
 auto checkQuota (ServingState& state,
                  const CallerRequest& caller,
                  const RoutedAccount& account,
-                 bool isAskedAgain,
+                 bool isSecondCheck,
                  TimePoint now) -> std::optional<Problem>
 {
     auto bounds = quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, drawJitter(), now);
-    bounds.isAskedAgain = isAskedAgain;
-    const auto admission = state.quota.admit (account, tokensOf (caller, account), bounds, now);
+    bounds.isAskedAgain = isSecondCheck;
+    const auto admission = state.quota.admit (account, quotaTokens (caller, account), bounds, now);
 
     if (admission.admitted)
         return {};
@@ -107,10 +107,10 @@
 /** @returns until when a request may wait for a node that has just started. */
 auto startWaitEnd (const CallerRequest& caller, TimePoint arrived, TimePoint latest) -> TimePoint
 {
-    if (! caller.patience)
+    if (! caller.timeLimit)
         return latest;
 
-    const auto ofCaller = std::chrono::duration_cast<Duration> (*caller.patience * startShareOfPatience);
+    const auto ofCaller = std::chrono::duration_cast<Duration> (*caller.timeLimit * startShareOfTimeLimit);
     return std::min (latest, arrived + ofCaller);
 }
 
@@ -119,39 +119,39 @@
     @param lacked  for the log
     @param knows   whether it knows it
 */
-auto waitUntilKnown (const ServingState& state,
+auto waitUntilReady (const ServingState& state,
                      const CallerRequest& caller,
                      TimePoint end,
-                     std::string_view lacked,
-                     std::function<bool()> knows) -> Task<void>
+                     std::string_view missing,
+                     std::function<bool()> isReady) -> Task<void>
 {
     const auto began = SteadyClock::now();
 
-    if (knows() || began >= end)
+    if (isReady() || began >= end)
         co_return;
 
-    while (! knows() && SteadyClock::now() < end)
-        co_await pauseFor (state.loop, startLook);
+    while (! isReady() && SteadyClock::now() < end)
+        co_await pauseFor (state.loop, startPollInterval);
 
     LogLine ("waited_for_start")
         .with ("request", caller.id)
-        .with ("lacked", lacked)
+        .with ("lacked", missing)
         .with ("milliseconds", inMilliseconds (SteadyClock::now() - began))
-        .with ("can_decide", knows() ? "yes" : "no")
+        .with ("can_decide", isReady() ? "yes" : "no")
         .info();
 }
 
 /** Lets a request wait until a node that has just started can decide on it. */
 auto waitForStart (const ServingState& state, const CallerRequest& caller, TimePoint arrived) -> Task<void>
 {
-    const auto end = startWaitEnd (caller, arrived, state.sharing.startTime + startPatience);
-    return waitUntilKnown (
+    const auto end = startWaitEnd (caller, arrived, state.sharing.startTime + startWaitLimit);
+    return waitUntilReady (
         state, caller, end, "configuration",
         [&state] { return state.configuration.current && state.hasReplicas && state.sharing.members; });
 }
 
 /** @returns whether this node knows what the others admit. */
-auto knowsLimits (const ServingState& state) -> bool
+auto hasSettledLimits (const ServingState& state) -> bool
 {
     return isSettled (state.sharing, state.peers, SteadyClock::now());
 }
@@ -160,7 +160,7 @@
 auto waitForLimits (const ServingState& state, const CallerRequest& caller, TimePoint arrived) -> Task<void>
 {
     const auto end = startWaitEnd (caller, arrived, SteadyClock::now() + limitsPatience);
-    return waitUntilKnown (state, caller, end, "limits", [&state] { return knowsLimits (state); });
+    return waitUntilReady (state, caller, end, "limits", [&state] { return hasSettledLimits (state); });
 }
 
 auto isOverLimit (const std::variant<RoutedRequest, Problem>& admitted) -> bool
@@ -171,7 +171,7 @@
 
 } // namespace
 
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAskedAgain, TimePoint now)
+auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isSecondCheck, TimePoint now)
     -> std::variant<RoutedRequest, Problem>
 {
     RoutedRequest request;
@@ -180,17 +180,17 @@
 
     // Too late to be sure of an end within the grace time; another node is asked at once.
     if (state.isDrained)
-        return withRetry (makeProblem (ErrorKind::nodeLeaving), leavingRetry);
+        return withRetry (makeProblem (ErrorKind::nodeLeaving), leavingRetryDelay);
 
     if (! request.configuration)
-        return withRetry (makeProblem (ErrorKind::noReplica, "no configuration yet"), freshnessRetry);
+        return withRetry (makeProblem (ErrorKind::noReplica, "no configuration yet"), freshnessRetryDelay);
 
     request.route = findRoute (*request.configuration, caller.host, caller.path);
 
     if (request.route == nullptr)
         return makeProblem (ErrorKind::notFound);
 
-    auto account = accountOf (state, caller, *request.route, now);
+    auto account = authenticate (state, caller, *request.route, now);
 
     if (auto* refusal = std::get_if<Problem> (&account))
         return std::move (*refusal);
@@ -203,11 +203,11 @@
         return std::move (*refusal);
 
     if (request.account)
-        if (auto refusal = checkQuota (state, caller, *request.account, isAskedAgain, now))
+        if (auto refusal = checkQuota (state, caller, *request.account, isSecondCheck, now))
             return std::move (*refusal);
 
-    const auto patience = caller.patience.value_or (request.route->timeout);
-    request.end = arrived + std::min (patience, request.route->timeout);
+    const auto timeLimit = caller.timeLimit.value_or (request.route->timeout);
+    request.deadline = arrived + std::min (timeLimit, request.route->timeout);
     request.service = pickService (*request.route, drawJitter());
     request.caller = std::move (caller);
     return request;
@@ -234,15 +234,15 @@
     co_await waitForStart (state, caller, arrived);
 
     auto now = SteadyClock::now();
-    auto isAskedAgain = false;
-    auto admitted = admit (state, caller, arrived, isAskedAgain, now);
+    auto isSecondCheck = false;
+    auto admitted = admit (state, caller, arrived, isSecondCheck, now);
 
-    if (isOverLimit (admitted) && ! knowsLimits (state))
+    if (isOverLimit (admitted) && ! hasSettledLimits (state))
     {
         co_await waitForLimits (state, caller, arrived);
         now = SteadyClock::now();
-        isAskedAgain = true;
-        admitted = admit (state, caller, arrived, isAskedAgain, now);
+        isSecondCheck = true;
+        admitted = admit (state, caller, arrived, isSecondCheck, now);
     }
 
     if (const auto* refusal = std::get_if<Problem> (&admitted))
@@ -252,8 +252,8 @@
         co_return;
     }
 
-    RoutedRun run (state, exchange, std::get<RoutedRequest> (std::move (admitted)));
-    co_await run.run();
+    RoutedRequestRunner runner (state, exchange, std::get<RoutedRequest> (std::move (admitted)));
+    co_await runner.run();
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -57,7 +57,7 @@
       incarnation (static_cast<std::uint64_t> (wallTimeNow().time_since_epoch().count())),
       crashWake (std::make_shared<Signal> (servingState.loop.get_executor()))
 {
-    state.crashes.onNews = [wake = crashWake] { wake->notify(); };
+    state.crashes.onNewEvidence = [wake = crashWake] { wake->notify(); };
 }
 
 auto PeerExchange::start() -> std::error_code
@@ -130,7 +130,7 @@
         else if (const auto* usage = std::get_if<UsageNotice> (&*message))
             (usage->isOfRollouts ? state.rollouts.others() : state.usageOfOthers).note (*usage);
         else if (const auto* crashes = std::get_if<CrashNotice> (&*message))
-            state.crashes.hear (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
+            state.crashes.receiveEvidence (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
                                 SteadyClock::now());
         else
             take (std::get<LoadNotice> (*message));
@@ -259,7 +259,7 @@
     UsageNotice notice;
     notice.node = state.settings.node;
     notice.incarnation = incarnation;
-    notice.counts = state.usage.endedAfter (state.trueTime.now (now) - state.settings.usageDue);
+    notice.counts = state.usage.endedAfter (state.trueTime.now (now) - state.settings.usageReportDelay);
 
     if (! notice.counts.empty())
     {
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -15,10 +15,10 @@
 constexpr auto sweepInterval = 100ms;
 
 /** The balancer asks each second and takes a node out after two misses: callers keep coming for so long. */
-constexpr auto balancerTime = 2300ms;
+constexpr auto balancerRemovalTime = 2300ms;
 
 /** A stopping node that knows no others looks for them this often. */
-constexpr auto lookInterval = Duration (400ms);
+constexpr auto peerPollInterval = Duration (400ms);
 
 /** Kept back of the grace time, for the process to end by itself. */
 constexpr auto graceMargin = 700ms;
@@ -44,8 +44,8 @@
         return error;
 
     startBackground();
-    asio::co_spawn (state.loop, stopWhenAsked(), asio::detached);
-    asio::co_spawn (state.loop, reloadWhenAsked (onReload), asio::detached);
+    asio::co_spawn (state.loop, stopOnSignal(), asio::detached);
+    asio::co_spawn (state.loop, reloadOnSignal (onReload), asio::detached);
 
     LogLine ("started")
         .with ("node", state.settings.node)
@@ -129,7 +129,7 @@
 
 auto ServingNode::answerMetrics (Exchange& exchange) -> Task<void>
 {
-    noteSizes (state.metrics, state.crashes.table().sizes (SteadyClock::now()));
+    publishSizes (state.metrics, state.crashes.table().sizes (SteadyClock::now()));
     co_await exchange.respond (http::status::ok, "text/plain; version=0.0.4", state.metrics.text());
 }
 
@@ -160,7 +160,7 @@
         if (dropMissing (state.directory, now))
             state.publishDirectory (now);
 
-        state.crashes.lookAgain (state.probes, now);
+        state.crashes.recheckUnconfirmed (state.probes, now);
         state.crashes.table().forgetOld (now);
 
         if (state.configuration.current)
@@ -179,7 +179,7 @@
     }
 }
 
-auto ServingNode::reloadWhenAsked (std::function<void()> onReload) -> Task<void>
+auto ServingNode::reloadOnSignal (std::function<void()> onReload) -> Task<void>
 {
     asio::signal_set signals (state.loop, SIGHUP);
 
@@ -195,13 +195,13 @@
     }
 }
 
-auto ServingNode::stopWhenAsked() -> Task<void>
+auto ServingNode::stopOnSignal() -> Task<void>
 {
     asio::signal_set signals (state.loop, SIGTERM, SIGINT);
     co_await signals.async_wait (asTuple);
 
     const auto asked = SteadyClock::now();
-    const auto drainStart = asked + balancerTime;
+    const auto drainStart = asked + balancerRemovalTime;
     const auto end = asked + state.settings.grace - graceMargin;
     state.leaving = true;
     LogLine ("leaving").with ("open_requests", state.openRequests).info();
@@ -213,7 +213,7 @@
     while (SteadyClock::now() < drainStart)
     {
         co_await membership.lookForOthers();
-        co_await pauseFor (state.loop, std::min<Duration> (lookInterval, drainStart - SteadyClock::now()));
+        co_await pauseFor (state.loop, std::min<Duration> (peerPollInterval, drainStart - SteadyClock::now()));
     }
 
     state.isDrained = true;
--- a/modules/snowrudder_serving/node/ServingNode.h
+++ b/modules/snowrudder_serving/node/ServingNode.h
@@ -50,8 +50,8 @@
     auto answerMetrics (Exchange& exchange) -> Task<void>;
     auto applyConfiguration() -> void;
     auto sweepLoop() -> Task<void>;
-    auto stopWhenAsked() -> Task<void>;
-    auto reloadWhenAsked (std::function<void()> onReload) -> Task<void>;
+    auto stopOnSignal() -> Task<void>;
+    auto reloadOnSignal (std::function<void()> onReload) -> Task<void>;
 
     ServingState state;
     ServingFace face;
--- a/modules/snowrudder_serving/node/ServingSettings.h
+++ b/modules/snowrudder_serving/node/ServingSettings.h
@@ -28,12 +28,12 @@
     bool reportsUsage = false;
     bool ordersReplicas = false;
     /** Of a holder of duties: within this time nobody may come after a successor and before it again. */
-    Duration holderTime = 3s;
+    Duration dutyHolderTime = 3s;
     Duration usageWindow = 5s;
     /** A window's report is due this long after its end. */
-    Duration usageDue = 10s;
+    Duration usageReportDelay = 10s;
     /** How long a key may be used after it was revoked. */
-    Duration revocation = 5s;
+    Duration revocationTime = 5s;
     /** From the signal to stop until the process is killed. */
     Duration grace = 8s;
     /** Retries over all nodes within `retryWindow`: a share of the requests, and a fixed number. */
--- a/modules/snowrudder_serving/node/ServingState.h
+++ b/modules/snowrudder_serving/node/ServingState.h
@@ -2,7 +2,7 @@
 
 #include "../capacity/WorkMeter.h"
 #include "../configuration/ConfigurationState.h"
-#include "../crashes/CrashWatch.h"
+#include "../crashes/CrashMonitor.h"
 #include "../directory/ReplicaDirectory.h"
 #include "../duties/Leadership.h"
 #include "../duties/UsageGathering.h"
@@ -31,8 +31,8 @@
     ServingState (asio::io_context& eventLoop, const ServingSettings& servingSettings)
         : loop (eventLoop), settings (servingSettings), pool (eventLoop.get_executor()),
           probes (eventLoop, pool),
-          counts (metrics), freshness { servingSettings.revocation, FreshnessBounds().margin },
-          crashes (metrics, replicas, ReplicaNaming::starts), usage (servingSettings.usageWindow),
+          counts (metrics), freshness { servingSettings.revocationTime, FreshnessBounds().margin },
+          crashes (metrics, replicas, ReplicaNaming::uniquePerStart), usage (servingSettings.usageWindow),
           usageOfOthers (servingSettings.failureDomain), rollouts (servingSettings),
           quota (sharing.startTime), peers (sharing.startTime),
           configurationWake (std::make_shared<Signal> (eventLoop.get_executor()))
@@ -65,7 +65,7 @@
     /** @returns retries that this node may save up: its part of half of the fleet's fixed number. The other half is kept back
         for nodes that know each other late. A node without any could not even replace an attempt that was refused.
     */
-    [[nodiscard]] auto savedRetries() const -> double
+    [[nodiscard]] auto maxSavedRetries() const -> double
     {
         constexpr auto partGivenOut = 0.5;
         constexpr auto least = 1.0;
@@ -86,7 +86,7 @@
     const FreshnessBounds freshness;
     ReplicaDirectory directory;
     ReplicaTable replicas;
-    CrashWatch crashes;
+    CrashMonitor crashes;
     ServiceQueues queues;
     RetryBudgets retryBudgets;
     UsageWindows usage;
--- a/modules/snowrudder_serving/queue/PlaceGuard.h
+++ b/modules/snowrudder_serving/queue/PermitGuard.h
@@ -6,29 +6,29 @@
 {
 
 /** A place before a service's upstreams, given back at its end. */
-class PlaceGuard
+class PermitGuard
 {
 public:
-    PlaceGuard (ServiceQueues& serviceQueues, std::string serviceName, std::string accountName)
+    PermitGuard (ServiceQueues& serviceQueues, std::string serviceName, std::string accountName)
         : queues (serviceQueues), service (std::move (serviceName)), account (std::move (accountName)),
-          since (SteadyClock::now())
+          acquiredAt (SteadyClock::now())
     {
     }
 
-    ~PlaceGuard()
+    ~PermitGuard()
     {
         const auto now = SteadyClock::now();
-        queues.leave (service, account, now - since, now);
+        queues.release (service, account, now - acquiredAt, now);
     }
 
-    PlaceGuard (const PlaceGuard&) = delete;
-    auto operator= (const PlaceGuard&) -> PlaceGuard& = delete;
+    PermitGuard (const PermitGuard&) = delete;
+    auto operator= (const PermitGuard&) -> PermitGuard& = delete;
 
 private:
     ServiceQueues& queues;
     std::string service;
     std::string account;
-    TimePoint since;
+    TimePoint acquiredAt;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/queue/ServiceQueues.cpp
+++ b/modules/snowrudder_serving/queue/ServiceQueues.cpp
@@ -10,7 +10,7 @@
 {
 
 /** Until a first report of capacity a router lets this many through. */
-constexpr auto firstWindow = std::uint32_t { 64 };
+constexpr auto initialWindow = std::uint32_t { 64 };
 
 } // namespace
 
@@ -29,12 +29,12 @@
              static_cast<std::uint32_t> (std::ceil (placesInFlood)) };
 }
 
-auto ServiceQueues::enter (std::string service,
+auto ServiceQueues::acquire (std::string service,
                            QueuedRequest wanted,
                            std::uint32_t mostQueued,
-                           asio::any_io_executor executor) -> Task<Place>
+                           asio::any_io_executor executor) -> Task<PermitOutcome>
 {
-    Place place;
+    PermitOutcome permit;
     std::shared_ptr<Waiter> waiter;
 
     {
@@ -44,14 +44,14 @@
 
         if (! entry.hasCapacity)
         {
-            entry.queue.setWindow ({ firstWindow, firstWindow }, now);
+            entry.queue.setWindow ({ initialWindow, initialWindow }, now);
             entry.hasCapacity = true;
         }
 
         wanted.ticket = nextTicket++;
         const auto answer = entry.queue.request (wanted, mostQueued, now);
-        place.granted = answer.verdict == QueueVerdict::start;
-        place.retryAfter = answer.retryAfter;
+        permit.granted = answer.verdict == QueueVerdict::start;
+        permit.retryAfter = answer.retryAfter;
 
         if (answer.verdict == QueueVerdict::wait)
         {
@@ -62,33 +62,33 @@
     }
 
     if (! waiter)
-        co_return place;
+        co_return permit;
 
     co_await waiter->signal->wait (wanted.deadline);
 
     const std::lock_guard lock (mutex);
     auto& entry = services[service];
     entry.waiters.erase (wanted.ticket);
-    place.granted = waiter->granted;
+    permit.granted = waiter->granted;
 
-    if (! place.granted)
+    if (! permit.granted)
     {
         entry.queue.withdraw (wanted.ticket);
-        place.expired = true;
-        place.retryAfter = entry.queue.expectedWait (wanted.account);
+        permit.expired = true;
+        permit.retryAfter = entry.queue.expectedWait (wanted.account);
     }
 
-    co_return place;
+    co_return permit;
 }
 
-auto ServiceQueues::leave (const std::string& service,
+auto ServiceQueues::release (const std::string& service,
                            const std::string& account,
-                           Duration took,
+                           Duration heldFor,
                            TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
     auto& entry = services[service];
-    grant (entry, entry.queue.finish (account, took, now));
+    grant (entry, entry.queue.finish (account, heldFor, now));
 }
 
 auto ServiceQueues::setCapacity (const std::string& service, const ServiceCapacity& capacity, TimePoint now)
--- a/modules/snowrudder_serving/queue/ServiceQueues.h
+++ b/modules/snowrudder_serving/queue/ServiceQueues.h
@@ -33,7 +33,7 @@
 {
 public:
     /** What a request that asked for a place got. */
-    struct Place
+    struct PermitOutcome
     {
         bool granted = false;
         /** Whether it waited until its deadline rather than be refused at once. */
@@ -46,17 +46,17 @@
         @param mostQueued  an account's longest queue
         @param executor    of the waiting coroutine
     */
-    auto enter (std::string service,
+    auto acquire (std::string service,
                 QueuedRequest wanted,
                 std::uint32_t mostQueued,
-                asio::any_io_executor executor) -> Task<Place>;
+                asio::any_io_executor executor) -> Task<PermitOutcome>;
 
     /** Gives a place back.
 
         @param account  of the request that had it
         @param took     how long it was held
     */
-    auto leave (const std::string& service, const std::string& account, Duration took, TimePoint now) -> void;
+    auto release (const std::string& service, const std::string& account, Duration heldFor, TimePoint now) -> void;
 
     /** Sets the window from what the replicas are believed to have free. */
     auto setCapacity (const std::string& service, const ServiceCapacity& capacity, TimePoint now) -> void;
--- a/modules/snowrudder_serving/relay/EventAssembler.cpp
+++ b/modules/snowrudder_serving/relay/EventAssembler.cpp
@@ -9,14 +9,14 @@
 {
 
 /** @returns where the last whole event ends, or 0. Events end with an empty line; lines may end with LF or CRLF. */
-auto endOfEvents (std::string_view bytes) -> std::size_t
+auto endOfCompleteEvents (std::string_view bytes) -> std::size_t
 {
-    constexpr auto none = std::string_view::npos;
-    const auto plain = bytes.rfind ("\n\n");
-    const auto carriage = bytes.rfind ("\n\r\n");
-    const auto afterPlain = plain == none ? std::size_t { 0 } : plain + 2;
-    const auto afterCarriage = carriage == none ? std::size_t { 0 } : carriage + 3;
-    return std::max (afterPlain, afterCarriage);
+    constexpr auto notFound = std::string_view::npos;
+    const auto lineFeedEnd = bytes.rfind ("\n\n");
+    const auto carriageReturnEnd = bytes.rfind ("\n\r\n");
+    const auto afterLineFeedEnd = lineFeedEnd == notFound ? std::size_t { 0 } : lineFeedEnd + 2;
+    const auto afterCarriageReturnEnd = carriageReturnEnd == notFound ? std::size_t { 0 } : carriageReturnEnd + 3;
+    return std::max (afterLineFeedEnd, afterCarriageReturnEnd);
 }
 
 } // namespace
@@ -24,32 +24,32 @@
 auto EventAssembler::add (std::string_view bytes) -> std::string_view
 {
     partial += bytes;
-    const auto end = endOfEvents (partial);
-    whole.assign (partial, 0, end);
+    const auto end = endOfCompleteEvents (partial);
+    completeEvents.assign (partial, 0, end);
     partial.erase (0, end);
-    noteIdentifier (whole);
-    return whole;
+    recordIdentifier (completeEvents);
+    return completeEvents;
 }
 
-auto EventAssembler::noteIdentifier (std::string_view events) -> void
+auto EventAssembler::recordIdentifier (std::string_view events) -> void
 {
     constexpr auto field = std::string_view ("id:");
-    auto place = events.rfind (field);
+    auto position = events.rfind (field);
 
     // The field's name counts at the start of a line only.
-    while (place != std::string_view::npos && place != 0 && events[place - 1] != '\n')
-        place = events.rfind (field, place - 1);
+    while (position != std::string_view::npos && position != 0 && events[position - 1] != '\n')
+        position = events.rfind (field, position - 1);
 
-    if (place == std::string_view::npos)
+    if (position == std::string_view::npos)
         return;
 
-    auto value = events.substr (place + field.size());
+    auto value = events.substr (position + field.size());
     value = value.substr (0, value.find_first_of ("\r\n"));
 
     if (value.starts_with (' '))
         value.remove_prefix (1);
 
-    last = value;
+    lastIdentifier = value;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/relay/EventAssembler.h
+++ b/modules/snowrudder_serving/relay/EventAssembler.h
@@ -26,17 +26,17 @@
     [[nodiscard]] auto hasPartial() const -> bool { return ! partial.empty(); }
 
     /** @returns the part of an event that has come so far. */
-    [[nodiscard]] auto partialBytes() const -> std::string_view { return partial; }
+    [[nodiscard]] auto partialEvent() const -> std::string_view { return partial; }
 
     /** @returns the identifier of the last whole event, or an empty text. */
-    [[nodiscard]] auto lastEvent() const -> const std::string& { return last; }
+    [[nodiscard]] auto lastEventId() const -> const std::string& { return lastIdentifier; }
 
 private:
-    auto noteIdentifier (std::string_view events) -> void;
+    auto recordIdentifier (std::string_view events) -> void;
 
     std::string partial;
-    std::string whole;
-    std::string last;
+    std::string completeEvents;
+    std::string lastIdentifier;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/relay/RoutedChoice.cpp
+++ b/modules/snowrudder_serving/relay/RoutedPrompt.cpp
@@ -1,4 +1,4 @@
-#include "RoutedChoice.h"
+#include "RoutedPrompt.h"
 
 namespace snowrudder
 {
@@ -28,8 +28,8 @@
 
     for (const auto& part : caller.parts)
     {
-        prompt.blocks.push_back (part.chain);
-        prompt.blockTokens.push_back (part.tokensSoFar);
+        prompt.blocks.push_back (part.prefixHash);
+        prompt.blockTokens.push_back (part.prefixTokens);
     }
 
     return prompt;
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
@@ -1,8 +1,8 @@
-#include "RoutedRun.h"
+#include "RoutedRequestRunner.h"
 
 #include "../attempt/AttemptErrors.h"
 #include "../crashes/SuspectRanking.h"
-#include "../queue/PlaceGuard.h"
+#include "../queue/PermitGuard.h"
 #include "AnswerRelay.h"
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 using std::chrono::milliseconds;
 
 /** A connection inside the platform comes up within a few milliseconds; a VM without power never answers. */
-constexpr auto connectTime = 250ms;
+constexpr auto connectTimeout = 250ms;
 
 /** Attempts that a replica declined and that don't count against the route's own number. */
-constexpr auto freeDeclines = std::uint32_t { 2 };
+constexpr auto uncountedRefusals = std::uint32_t { 2 };
 
 /** Requests of one account that may wait at this node. */
 constexpr auto mostQueued = std::uint32_t { 256 };
@@ -29,59 +29,59 @@
 constexpr auto queueShareOfTarget = 0.6;
 
 /** When to come back after a refusal that a replica or a connection caused: another node or replica may do. */
-constexpr auto shortRetry = 100ms;
+constexpr auto shortRetryDelay = 100ms;
 
 } // namespace
 
-RoutedRun::RoutedRun (ServingState& servingState, Exchange& callerExchange, RoutedRequest routedRequest)
+RoutedRequestRunner::RoutedRequestRunner (ServingState& servingState, Exchange& callerExchange, RoutedRequest routedRequest)
     : state (servingState), exchange (callerExchange), request (std::move (routedRequest)),
       prompt (promptOf (request.caller))
 {
     ++state.openRequests;
 }
 
-RoutedRun::~RoutedRun()
+RoutedRequestRunner::~RoutedRequestRunner()
 {
     exchange.stopWatching();
     --state.openRequests;
 
-    if (hasRetryInHand)
+    if (hasReservedRetry)
         state.retryBudgets.giveBack ({}, request.service);
 }
 
-auto RoutedRun::run() -> Task<void>
+auto RoutedRequestRunner::run() -> Task<void>
 {
     constexpr auto percent = 100.0;
     state.retryBudgets.earn ({}, request.service, state.settings.retryShare * percent);
     exchange.watchCaller ([this] { onCallerGone(); });
 
-    const auto place = co_await enterQueue();
+    const auto permit = co_await enterQueue();
     state.counts.queueWait.add (SteadyClock::now() - request.accepted);
 
-    if (! place.granted)
+    if (! permit.granted)
     {
         if (! isCallerGone)
-            co_await refuse (withRetry (makeProblem (ErrorKind::overloaded), place.retryAfter));
+            co_await respondWithProblem (withRetry (makeProblem (ErrorKind::overloaded), permit.retryAfter));
 
         co_return;
     }
 
-    const PlaceGuard guard (state.queues, request.service, request.accountName());
+    const PermitGuard guard (state.queues, request.service, request.accountName());
     co_await runAttempts();
 }
 
-auto RoutedRun::enterQueue() -> Task<ServiceQueues::Place>
+auto RoutedRequestRunner::enterQueue() -> Task<ServiceQueues::PermitOutcome>
 {
     const auto wait =
         std::chrono::duration_cast<Duration> (request.route->latencyTarget * queueShareOfTarget);
     QueuedRequest wanted;
     wanted.account = request.accountName();
     wanted.cost = std::max (1.0, request.caller.promptTokens + request.caller.answerTokens);
-    wanted.deadline = std::min (request.end, request.accepted + wait);
-    return state.queues.enter (request.service, std::move (wanted), mostQueued, exchange.executor());
+    wanted.deadline = std::min (request.deadline, request.accepted + wait);
+    return state.queues.acquire (request.service, std::move (wanted), mostQueued, exchange.executor());
 }
 
-auto RoutedRun::runAttempts() -> Task<void>
+auto RoutedRequestRunner::runAttempts() -> Task<void>
 {
     while (! isCallerGone)
     {
@@ -93,14 +93,14 @@
         if (! outcome || isCallerGone)
             break;
 
-        const auto after = co_await replicaAfter (*outcome);
+        const auto after = co_await examineReplica (*outcome);
 
         if (isCallerGone)
             break;
 
         const auto decision = decide (*outcome);
 
-        attemptFailed (request.caller.id, sends, *outcome, decision)
+        attemptFailedLine (request.caller.id, attemptCount, *outcome, decision)
             .with ("replica", lastReplica.name)
             .with ("replica_address", after)
             .with ("fingerprint", toString (request.fingerprint))
@@ -109,11 +109,11 @@
 
         if (! decision.again)
         {
-            co_await fail (*outcome, decision);
+            co_await respondWithFailure (*outcome, decision);
             co_return;
         }
 
-        requireInvariant (request.route->isRepeatable() || runs() == 0,
+        requireInvariant (request.route->isRepeatable() || possibleRuns() == 0,
                           "a request marked not repeatable runs at most once");
         state.counts.retries.add();
         co_await pauseFor (state.loop, decision.pause);
@@ -126,23 +126,23 @@
     }
 }
 
-auto RoutedRun::attempt() -> Task<Failure>
+auto RoutedRequestRunner::attempt() -> Task<Failure>
 {
     const auto judgement = co_await waitForVerdict();
-    ++sends;
+    ++attemptCount;
 
     if (judgement.verdict == CrashVerdict::stopped)
     {
-        state.crashes.noteStopped (request.fingerprint, request.caller.id, judgement, SteadyClock::now());
+        state.crashes.reportStopped (request.fingerprint, request.caller.id, judgement, SteadyClock::now());
         co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
     }
 
     // The wait for a verdict may have outlasted the caller or the request's time.
-    if (isCallerGone || SteadyClock::now() >= request.end)
+    if (isCallerGone || SteadyClock::now() >= request.deadline)
         co_return AttemptOutcome { CallStage::planned,
                                    isCallerGone ? FailureCause::abandoned : FailureCause::deadline };
 
-    auto taken = takeReplica (judgement);
+    auto taken = selectReplica (judgement);
 
     if (! taken)
     {
@@ -165,7 +165,7 @@
     LogLine ("route")
         .with ("request", request.caller.id)
         .with ("service", request.service)
-        .with ("attempt", sends)
+        .with ("attempt", attemptCount)
         .with ("replica", lastReplica.name)
         .with ("score", chosen.score)
         .with ("uncached", chosen.uncachedTokens)
@@ -176,40 +176,40 @@
         .with ("usable", taken->choice.usable)
         .info();
 
-    const CrashWatch::Running running (state.crashes, request.fingerprint);
+    const CrashMonitor::RunningAttempt running (state.crashes, request.fingerprint);
     UpstreamCall call (state.pool, parseEndpoint (ticket.info.endpoint), timeouts());
     currentCall = &call;
     attemptFirstByte.reset();
     const auto outcome = co_await callReplica (call, ticket);
     currentCall = nullptr;
-    noteForRollout (ticket, outcome, call);
+    recordForRollout (ticket, outcome, call);
 
     const auto health = isCallerGone ? AttemptHealth::neutral
-                        : outcome    ? healthOf (*outcome)
+                        : outcome    ? attemptHealthOf (*outcome)
                                      : AttemptHealth::good;
     state.replicas.release (ticket, health, SteadyClock::now());
     co_return outcome;
 }
 
-auto RoutedRun::callReplica (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Failure>
+auto RoutedRequestRunner::callReplica (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Failure>
 {
     // A kept connection can die unseen under a request, and one that may run once could not be sent again.
     if (co_await call.connect (request.route->isRepeatable()))
-        co_return failed (call, FailureCause::connectFailed);
+        co_return makeOutcome (call, FailureCause::connectFailed);
 
     auto& message = request.caller.message;
     state.protocol.setFields (message, attemptFields (ticket));
-    sent = SteadyClock::now();
+    sentAt = SteadyClock::now();
 
     if (message.method() == http::verb::head)
         call.expectNoBody();
 
     if (const auto error = co_await call.sendAndReadHeader (message))
-        co_return failed (call, failureOf (error));
+        co_return makeOutcome (call, failureCauseOf (error));
 
     const auto answer = state.protocol.readAnswer (call.header(), request.caller.id);
 
-    if (auto failure = takeHead (call, answer, ticket))
+    if (auto failure = processHead (call, answer, ticket))
         co_return failure;
 
     if (request.route->kind == RouteKind::stream && answer.isSuccess)
@@ -218,14 +218,14 @@
     co_return co_await relayPlain (call);
 }
 
-auto RoutedRun::takeHead (UpstreamCall& call, const UpstreamAnswer& answer, ReplicaTicket& ticket) -> Failure
+auto RoutedRequestRunner::processHead (UpstreamCall& call, const UpstreamAnswer& answer, ReplicaTicket& ticket) -> Failure
 {
     const auto now = SteadyClock::now();
 
-    if (! answer.isOwn)
+    if (! answer.belongsToRequest)
     {
         call.distrust();
-        return failed (call, FailureCause::invalid);
+        return makeOutcome (call, FailureCause::invalid);
     }
 
     if (answer.load)
@@ -236,28 +236,28 @@
             true, now);
     }
 
-    if (answer.isOtherReplica)
+    if (answer.isAddressReassigned)
         state.replicas.noteLeaving (ticket.number, now);
 
-    if (answer.isNotRun)
-        return failed (call, answer.isOtherReplica ? FailureCause::misdirected : FailureCause::refused);
+    if (answer.wasNotRun)
+        return makeOutcome (call, answer.isAddressReassigned ? FailureCause::misdirected : FailureCause::refused);
 
     // A replica that began and failed has begun all the same: counted only where its answer was passed on, a twelfth of a
     // window's requests was left out of the usage report while replicas failed 45% of theirs.
-    noteBegun();
+    countUsage();
 
-    if (! events.lastEvent().empty() && ! answer.isSuccess)
-        return failed (call, FailureCause::failed);
+    if (! events.lastEventId().empty() && ! answer.isSuccess)
+        return makeOutcome (call, FailureCause::failed);
 
     constexpr auto serverErrors = 500U;
 
     if (call.status() >= serverErrors && mayRunAgain())
-        return failed (call, FailureCause::failed);
+        return makeOutcome (call, FailureCause::failed);
 
     if (answer.isSuccess)
-        state.replicas.noteWait (request.service, prompt.ownTokens(), now - sent);
+        state.replicas.noteWait (request.service, prompt.ownTokens(), now - sentAt);
 
-    attemptFirstByte = now - sent;
+    attemptFirstByte = now - sentAt;
 
     firstByte = now - request.accepted;
     state.counts.firstByte.add (*firstByte);
@@ -265,28 +265,28 @@
     return {};
 }
 
-auto RoutedRun::relayPlain (UpstreamCall& call) -> Task<Failure>
+auto RoutedRequestRunner::relayPlain (UpstreamCall& call) -> Task<Failure>
 {
     std::string body;
 
     if (const auto error = co_await readAhead (call, body))
-        co_return failed (call, failureOf (error));
+        co_return makeOutcome (call, failureCauseOf (error));
 
     const std::string keepUpstreamsOwn;
     const auto status = call.status();
     co_await relayAnswer (exchange, call, std::move (body), keepUpstreamsOwn);
     state.counts.wholeAnswer.add (SteadyClock::now() - request.accepted);
-    noteWhole (call);
+    recordSuccess (call);
     logEnd (exchange.hasEnded() ? "answered" : "broken_off", status);
 
     // The caller has a part of the answer and gets no other: what ended the connection says something of the request all the same.
     if (! call.isDone() && ! isCallerGone)
-        co_await replicaAfter (failed (call, FailureCause::cut));
+        co_await examineReplica (makeOutcome (call, FailureCause::cut));
 
     co_return Failure {};
 }
 
-auto RoutedRun::relayStream (UpstreamCall& call) -> Task<Failure>
+auto RoutedRequestRunner::relayStream (UpstreamCall& call) -> Task<Failure>
 {
     if (! exchange.hasBegun())
         if (co_await exchange.beginStream (relayedHead (call)))
@@ -297,81 +297,81 @@
     while (! call.isDone())
     {
         if (const auto error = co_await call.readSome (piece))
-            co_return failed (call, failureOf (error));
+            co_return makeOutcome (call, failureCauseOf (error));
 
-        const auto whole = events.add (piece);
+        const auto completeEvents = events.add (piece);
 
-        if (! whole.empty())
-            notePause();
+        if (! completeEvents.empty())
+            recordPause();
 
-        if (co_await exchange.writePiece (whole))
+        if (co_await exchange.writePiece (completeEvents))
             co_return Failure {};
     }
 
     // What stands behind the last whole event belongs to the body too.
     if (events.hasPartial())
-        if (co_await exchange.writePiece (events.partialBytes()))
+        if (co_await exchange.writePiece (events.partialEvent()))
             co_return Failure {};
 
-    noteWhole (call);
+    recordSuccess (call);
     co_await exchange.endStream();
     state.counts.wholeAnswer.add (SteadyClock::now() - request.accepted);
     logEnd ("answered", call.status());
     co_return Failure {};
 }
 
-auto RoutedRun::replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>
+auto RoutedRequestRunner::examineReplica (const AttemptOutcome& outcome) -> Task<std::string_view>
 {
     if (! mayShowCrash (outcome))
         co_return "not_asked";
 
-    WatchedAttempt ended { request.fingerprint, request.caller.id, request.accountName(),
+    InterruptedAttempt ended { request.fingerprint, request.caller.id, request.accountName(),
                            lastNumber,          lastReplica,       SteadyClock::now() };
     co_return co_await state.crashes.examine (state.probes, std::move (ended));
 }
 
-auto RoutedRun::waitForVerdict() -> Task<CrashJudgement>
+auto RoutedRequestRunner::waitForVerdict() -> Task<CrashJudgement>
 {
     return state.crashes.waitForVerdict (state.loop, request.fingerprint, request.service,
                                          [this]
-                                         { return isCallerGone || SteadyClock::now() >= request.end; });
+                                         { return isCallerGone || SteadyClock::now() >= request.deadline; });
 }
 
-auto RoutedRun::ruleOf (bool isFirst) const -> VersionRule
+auto RoutedRequestRunner::versionRule (bool isFirst) const -> VersionRule
 {
     return state.rollouts.ruleFor (state.directory, request.service, hashBytes (request.caller.id), isFirst);
 }
 
-auto RoutedRun::affordableRule() -> VersionRule
+auto RoutedRequestRunner::ruleForAttempt() -> VersionRule
 {
-    auto rule = ruleOf (sends == 1);
+    auto rule = versionRule (attemptCount == 1);
 
     if (! rule.isTrial || ! mayRunAgain())
         return rule;
 
     // Its caller would get an unproved version's failure where no retry is left to run the request again.
-    hasRetryInHand = state.retryBudgets.take ({}, request.service);
-    return hasRetryInHand ? rule : ruleOf (false);
+    hasReservedRetry = state.retryBudgets.take ({}, request.service);
+    return hasReservedRetry ? rule : versionRule (false);
 }
 
-auto RoutedRun::takeReplica (const CrashJudgement& judgement) -> std::optional<TakenReplica>
+auto RoutedRequestRunner::selectReplica (const CrashJudgement& judgement) -> std::optional<TakenReplica>
 {
     const auto now = SteadyClock::now();
     const SuspectRanking ranking (state.crashes.table(), request.fingerprint, judgement, prompt.tokens);
     auto input = choiceInput (prompt, tried, state.nodeCount (now), drawNumber());
     ranking.applyTo (input);
 
-    const auto rule = affordableRule();
+    const auto rule = ruleForAttempt();
 
-    if (auto taken = takeByRule (input, rule, now); taken || rule.kind != VersionRule::Kind::only)
+    if (auto taken = selectByRule (input, rule, now); taken || rule.kind != VersionRule::Kind::only)
         return taken;
 
     // An unproved version without a usable replica leaves its share to the one in service.
     const auto isFirst = false;
-    return takeByRule (input, ruleOf (isFirst), now);
+    return selectByRule (input, versionRule (isFirst), now);
 }
 
-auto RoutedRun::takeByRule (ChoiceInput input, const VersionRule& rule, TimePoint now)
+auto RoutedRequestRunner::selectByRule (ChoiceInput input, const VersionRule& rule, TimePoint now)
     -> std::optional<TakenReplica>
 {
     if (rule.kind == VersionRule::Kind::only)
@@ -383,10 +383,10 @@
     return state.replicas.take (request.service, input, routedWeights(), now);
 }
 
-auto RoutedRun::noteForRollout (const ReplicaTicket& ticket, const Failure& outcome, const UpstreamCall& call)
+auto RoutedRequestRunner::recordForRollout (const ReplicaTicket& ticket, const Failure& outcome, const UpstreamCall& call)
     -> void
 {
-    const auto saysNothing = [&outcome]
+    const auto isInconclusive = [&outcome]
     {
         if (! outcome)
             return false;
@@ -395,7 +395,7 @@
                outcome->cause == FailureCause::deadline;
     };
 
-    if (sends > 1 || isCallerGone || saysNothing())
+    if (attemptCount > 1 || isCallerGone || isInconclusive())
         return;
 
     constexpr auto serverErrors = 500U;
@@ -405,15 +405,15 @@
                                state.replicas.promptSpeed (request.service).value_or (startPromptSpeed));
 }
 
-auto RoutedRun::decide (const AttemptOutcome& outcome) -> RetryDecision
+auto RoutedRequestRunner::decide (const AttemptOutcome& outcome) -> RetryDecision
 {
     RetryInput input;
     input.repeatable = request.route->isRepeatable();
-    input.mayHaveRun = runs() > 0;
-    input.attempts = countedAttempts (failures, freeDeclines);
+    input.mayHaveRun = possibleRuns() > 0;
+    input.attempts = countedAttempts (failures, uncountedRefusals);
     // An attempt that no replica ran leaves the route's number untouched, so that one more may be sent.
     input.mostAttempts = request.route->mostAttempts + (ranAfter (outcome) == Ran::no ? 1 : 0);
-    input.deadline = request.end;
+    input.deadline = request.deadline;
     input.jitter = drawJitter();
 
     auto decision = decideAfterFailure (outcome, input, SteadyClock::now());
@@ -421,7 +421,7 @@
 
     if (decision.again && decision.takesBudget)
         decision.again =
-            std::exchange (hasRetryInHand, false) || state.retryBudgets.take ({}, request.service);
+            std::exchange (hasReservedRetry, false) || state.retryBudgets.take ({}, request.service);
 
     if (decision.again && exchange.hasBegun())
         state.counts.resumed.add();
@@ -429,7 +429,7 @@
     return decision;
 }
 
-auto RoutedRun::fail (const AttemptOutcome& outcome, const RetryDecision& decision) -> Task<void>
+auto RoutedRequestRunner::respondWithFailure (const AttemptOutcome& outcome, const RetryDecision& decision) -> Task<void>
 {
     // An answer that has begun can't be taken back: the caller sees that its connection ends early.
     if (exchange.hasBegun())
@@ -441,54 +441,54 @@
     auto problem = problemAfter (outcome, decision);
 
     if (outcome.cause == FailureCause::stopped)
-        problem = problemWhenStopped (runs() > 0);
-    else if (runs() == 0)
+        problem = problemWhenStopped (possibleRuns() > 0);
+    else if (possibleRuns() == 0)
     {
         const auto isRefused = outcome.cause == FailureCause::refused;
         const auto kind = isRefused ? ErrorKind::upstreamRefused : ErrorKind::noReplica;
-        problem = withRetry (makeProblem (kind, Ran::no, std::move (problem.detail)), shortRetry);
+        problem = withRetry (makeProblem (kind, Ran::no, std::move (problem.detail)), shortRetryDelay);
     }
-    else if (SteadyClock::now() >= request.end)
+    else if (SteadyClock::now() >= request.deadline)
         problem = makeProblem (ErrorKind::deadlineExceeded, Ran::unknown, std::move (problem.detail));
     else if (ranAfter (outcome) == Ran::no)
         problem = makeProblem (ErrorKind::upstreamFailed, Ran::unknown, std::move (problem.detail));
 
-    co_await refuse (std::move (problem));
+    co_await respondWithProblem (std::move (problem));
 }
 
-auto RoutedRun::refuse (Problem problem) -> Task<void>
+auto RoutedRequestRunner::respondWithProblem (Problem problem) -> Task<void>
 {
     const auto status = answerFor (problem.kind).status;
     logEnd (toString (problem.kind), status);
     co_await exchange.respond (state.protocol.problem (problem, request.caller.id));
 }
 
-auto RoutedRun::noteBegun() -> void
+auto RoutedRequestRunner::countUsage() -> void
 {
-    if (isCounted || ! request.account)
+    if (isUsageCounted || ! request.account)
         return;
 
-    isCounted = true;
+    isUsageCounted = true;
     state.usage.note (request.account->name, state.trueTime.now (SteadyClock::now()));
 }
 
-auto RoutedRun::noteWhole (const UpstreamCall& call) -> void
+auto RoutedRequestRunner::recordSuccess (const UpstreamCall& call) -> void
 {
     if (call.hasSucceeded())
         state.crashes.table().noteSuccess (request.fingerprint, SteadyClock::now());
 }
 
-auto RoutedRun::notePause() -> void
+auto RoutedRequestRunner::recordPause() -> void
 {
     const auto now = SteadyClock::now();
 
-    if (eventsPassed)
-        longestPause = std::max (longestPause, now - *eventsPassed);
+    if (lastEventsAt)
+        longestPause = std::max (longestPause, now - *lastEventsAt);
 
-    eventsPassed = now;
+    lastEventsAt = now;
 }
 
-auto RoutedRun::onCallerGone() -> void
+auto RoutedRequestRunner::onCallerGone() -> void
 {
     isCallerGone = true;
 
@@ -496,7 +496,7 @@
         currentCall->cancel();
 }
 
-auto RoutedRun::logEnd (std::string_view outcome, unsigned status) -> void
+auto RoutedRequestRunner::logEnd (std::string_view outcome, unsigned status) -> void
 {
     LogLine ("request_ended")
         .with ("request", request.caller.id)
@@ -506,8 +506,8 @@
         .with ("version", request.configuration->version)
         .with ("outcome", outcome)
         .with ("status", status)
-        .with ("sends", sends)
-        .with ("runs", runs())
+        .with ("sends", attemptCount)
+        .with ("runs", possibleRuns())
         .with ("replica", lastReplica.name)
         .with ("prompt_tokens", request.caller.promptTokens)
         .with ("first_byte_milliseconds", firstByte ? inMilliseconds (*firstByte) : -1.0)
@@ -516,34 +516,34 @@
         .info();
 }
 
-auto RoutedRun::attemptFields (const ReplicaTicket& ticket) const -> AttemptFields
+auto RoutedRequestRunner::attemptFields (const ReplicaTicket& ticket) const -> AttemptFields
 {
-    const auto left = std::chrono::floor<milliseconds> (request.end - SteadyClock::now());
+    const auto left = std::chrono::floor<milliseconds> (request.deadline - SteadyClock::now());
     AttemptFields fields;
     fields.replica = ticket.info.name;
     fields.account = request.accountName();
     fields.timeLeft = std::max (milliseconds (1), left);
     fields.urgency = urgencyOf (request);
-    fields.lastEvent = events.lastEvent();
+    fields.lastEventId = events.lastEventId();
     return fields;
 }
 
-auto RoutedRun::timeouts() const -> CallTimeouts
+auto RoutedRequestRunner::timeouts() const -> CallTimeouts
 {
     CallTimeouts waits;
-    waits.connect = connectTime;
-    waits.firstByte = waits.idle = request.end - request.accepted;
-    waits.end = request.end;
+    waits.connect = connectTimeout;
+    waits.firstByte = waits.idle = request.deadline - request.accepted;
+    waits.end = request.deadline;
     return waits;
 }
 
-auto RoutedRun::mayRunAgain() const -> bool
+auto RoutedRequestRunner::mayRunAgain() const -> bool
 {
-    return request.route->isRepeatable() && runs() < request.route->mostAttempts &&
-           SteadyClock::now() < request.end;
+    return request.route->isRepeatable() && possibleRuns() < request.route->mostAttempts &&
+           SteadyClock::now() < request.deadline;
 }
 
-auto RoutedRun::failed (const UpstreamCall& call, FailureCause cause) const -> AttemptOutcome
+auto RoutedRequestRunner::makeOutcome (const UpstreamCall& call, FailureCause cause) const -> AttemptOutcome
 {
     return { call.stage(), isCallerGone ? FailureCause::abandoned : cause };
 }
--- a/modules/snowrudder_serving/request/RoutedRequest.h
+++ b/modules/snowrudder_serving/request/RoutedRequest.h
@@ -18,9 +18,9 @@
 struct PromptPart
 {
     /** Hash of this part and all before it. */
-    std::uint64_t chain = 0;
+    std::uint64_t prefixHash = 0;
     /** Tokens up to this part's end. */
-    double tokensSoFar = 0.0;
+    double prefixTokens = 0.0;
 };
 
 /** What a face read from a caller's request: nothing is decided yet. */
@@ -33,11 +33,11 @@
     std::string path;
     std::string key;
     /** How long the caller waits; nothing where it did not say. */
-    std::optional<Duration> patience;
+    std::optional<Duration> timeLimit;
     double promptTokens = 0.0;
     /** Most tokens of the answer. */
     double answerTokens = 0.0;
-    bool statesTokens = false;
+    bool hasTokenCounts = false;
     std::vector<PromptPart> parts;
     /** As it goes to a replica, less what the node itself sets. */
     HttpRequest message;
@@ -55,7 +55,7 @@
     RequestFingerprint fingerprint;
     TimePoint accepted {};
     /** When the caller must have its final answer. */
-    TimePoint end {};
+    TimePoint deadline {};
 
     [[nodiscard]] auto accountName() const -> std::string { return account ? account->name : std::string(); }
 };
--- a/modules/snowrudder_serving/request/UpstreamProtocol.h
+++ b/modules/snowrudder_serving/request/UpstreamProtocol.h
@@ -21,18 +21,18 @@
     /** 0 is the most urgent, 9 the least. */
     std::uint32_t urgency = 0;
     /** The last event that the caller has, where a stream goes on. */
-    std::string lastEvent;
+    std::string lastEventId;
 };
 
 /** What the head of a replica's answer says beside its status. */
 struct UpstreamAnswer
 {
     /** Whether it belongs to the request: replicas may send bytes that nobody asked for. */
-    bool isOwn = true;
+    bool belongsToRequest = true;
     /** Whether the replica says that it did not run the request and never will. */
-    bool isNotRun = false;
+    bool wasNotRun = false;
     /** Whether another replica has the address now. */
-    bool isOtherReplica = false;
+    bool isAddressReassigned = false;
     bool isSuccess = false;
     /** Requests running and waiting, where the replica tells. */
     std::optional<LoadReport> load;
--- a/modules/snowrudder_serving/snowrudder_serving.h
+++ b/modules/snowrudder_serving/snowrudder_serving.h
@@ -21,10 +21,10 @@
 #pragma once
 
 #include "attempt/AttemptErrors.h"
-#include "crashes/CrashWatch.h"
+#include "crashes/CrashMonitor.h"
 #include "crashes/SuspectRanking.h"
 #include "members/CrashNotice.h"
 #include "members/DatagramCodec.h"
-#include "queue/PlaceGuard.h"
+#include "queue/PermitGuard.h"
 #include "queue/ServiceQueues.h"
 #include "relay/AnswerRelay.h"
--- a/tests/unit/HerdTests.cpp
+++ b/tests/unit/HerdTests.cpp
@@ -1,6 +1,6 @@
 #include "ServingFixtures.h"
 
-#include "snowrudder_serving/relay/RoutedChoice.h"
+#include "snowrudder_serving/relay/RoutedPrompt.h"
 
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
 {
 
 /** What callers send, and the replicas that serve it. */
-struct HerdCase
+struct LoadCase
 {
     std::size_t routers = 0;
     std::size_t replicas = 0;
@@ -30,10 +30,10 @@
 /** Routers that send to the same replicas and hear of the replicas' loads by way of readers, a quarter of a second to three
     quarters old, in virtual time.
 */
-class HerdWorld
+class LoadFeedbackSimulation
 {
 public:
-    HerdWorld (const HerdCase& given, std::uint64_t seed)
+    LoadFeedbackSimulation (const LoadCase& given, std::uint64_t seed)
         : world (given), random (seed), tables (given.routers)
     {
         std::vector<ListedReplica> listed;
@@ -59,8 +59,8 @@
         for (const auto end = now + time; now < end; now += tick)
         {
             finish();
-            tellLoads();
-            arrive();
+            deliverLoadReports();
+            sendRequests();
         }
     }
 
@@ -80,8 +80,8 @@
 
 private:
     static constexpr auto tick = 5ms;
-    static constexpr auto tellInterval = 500ms;
-    static constexpr auto tellWay = 250ms;
+    static constexpr auto reportInterval = 500ms;
+    static constexpr auto reportDelay = 250ms;
 
     struct Run
     {
@@ -97,13 +97,13 @@
         std::uint64_t arrivals = 0;
     };
 
-    struct Told
+    struct DelayedReport
     {
-        TimePoint heard {};
+        TimePoint measuredAt {};
         std::vector<LoadReport> loads;
     };
 
-    auto arrive() -> void
+    auto sendRequests() -> void
     {
         const auto mean = world.requestsPerSecond * std::chrono::duration<double> (tick).count();
 
@@ -170,38 +170,38 @@
         }
     }
 
-    auto tellLoads() -> void
+    auto deliverLoadReports() -> void
     {
-        if (now >= nextTold)
+        if (now >= nextReport)
         {
-            nextTold = now + tellInterval;
-            Told told { now, {} };
+            nextReport = now + reportInterval;
+            DelayedReport report { now, {} };
 
             for (const auto& replica : replicas)
-                told.loads.push_back ({ static_cast<std::uint32_t> (replica.running.size()),
+                report.loads.push_back ({ static_cast<std::uint32_t> (replica.running.size()),
                                         static_cast<std::uint32_t> (replica.waiting.size()), 0.0, false });
 
-            underWay.push_back (std::move (told));
+            inFlightReports.push_back (std::move (report));
         }
 
-        if (underWay.empty() || underWay.front().heard + tellWay > now)
+        if (inFlightReports.empty() || inFlightReports.front().measuredAt + reportDelay > now)
             return;
 
         for (auto& table : tables)
             for (auto index = std::size_t { 0 }; index < hashes.size(); ++index)
-                table.noteLoadHeard (hashes[index], underWay.front().loads[index], underWay.front().heard);
+                table.noteLoadHeard (hashes[index], inFlightReports.front().loads[index], inFlightReports.front().measuredAt);
 
-        underWay.pop_front();
+        inFlightReports.pop_front();
     }
 
-    HerdCase world;
+    LoadCase world;
     std::mt19937_64 random;
     TimePoint now = start;
-    TimePoint nextTold = start;
+    TimePoint nextReport = start;
     std::vector<ReplicaTable> tables;
     std::vector<std::uint32_t> hashes;
     std::vector<Replica> replicas;
-    std::deque<Told> underWay;
+    std::deque<DelayedReport> inFlightReports;
     std::uint64_t sentCount = 0;
     std::uint64_t waitedCount = 0;
 };
@@ -212,19 +212,19 @@
 {
     // A plain service that hundreds of routers share, and a model's replicas; each is a fifth to a quarter taken on average.
     const std::array cases {
-        HerdCase { 7, 6, 6, 264.0, 30ms, 0.0 },        HerdCase { 77, 6, 6, 264.0, 30ms, 0.0 },
-        HerdCase { 295, 6, 6, 264.0, 30ms, 0.0 },      HerdCase { 7, 24, 12, 90.0, 600ms, 2000.0 },
-        HerdCase { 77, 60, 12, 220.0, 600ms, 2000.0 }, HerdCase { 295, 204, 12, 750.0, 600ms, 2000.0 }
+        LoadCase { 7, 6, 6, 264.0, 30ms, 0.0 },        LoadCase { 77, 6, 6, 264.0, 30ms, 0.0 },
+        LoadCase { 295, 6, 6, 264.0, 30ms, 0.0 },      LoadCase { 7, 24, 12, 90.0, 600ms, 2000.0 },
+        LoadCase { 77, 60, 12, 220.0, 600ms, 2000.0 }, LoadCase { 295, 204, 12, 750.0, 600ms, 2000.0 }
     };
 
-    for (const auto& herd : cases)
+    for (const auto& loadCase : cases)
     {
-        HerdWorld fleet (herd, 1);
+        LoadFeedbackSimulation fleet (loadCase, 1);
         fleet.run (24s);
-        INFO ("routers " << herd.routers << ", replicas " << herd.replicas);
+        INFO ("routers " << loadCase.routers << ", replicas " << loadCase.replicas);
         INFO ("busiest to mean " << fleet.busiestToMean() << ", waited " << fleet.waited());
         CHECK (fleet.waited() <= 0.01);
         // A quarter of the replicas is kept for long prompts, so that the others have four thirds of the mean.
-        CHECK (fleet.busiestToMean() <= (herd.promptTokens > 0.0 ? 1.8 : 1.35));
+        CHECK (fleet.busiestToMean() <= (loadCase.promptTokens > 0.0 ? 1.8 : 1.35));
     }
 }
--- a/tests/unit/NewsRunTests.cpp
+++ b/tests/unit/NewsRunTests.cpp
@@ -78,7 +78,7 @@
         for (const auto& [name, at] : store.stored)
             names.insert (name);
 
-        REQUIRE (namesIn (asker.directory) == names);
+        REQUIRE (replicaNames (asker.directory) == names);
     }
 
 private:
@@ -106,7 +106,7 @@
             REQUIRE (asker.configuration.provenAt <= configurationChanged);
     }
 
-    auto read (Knowledge& reader) -> void
+    auto read (StoreView& reader) -> void
     {
         if (chance (10))
             store.listedBy (reader.directory, now, ListReason::afterGap);
@@ -148,8 +148,8 @@
 
     std::mt19937 random;
     StoreModel store;
-    std::array<Knowledge, 2> readers { knowing (true), knowing (true) };
-    Knowledge asker = knowing (false);
+    std::array<StoreView, 2> readers { makeStoreView (true), makeStoreView (true) };
+    StoreView asker = makeStoreView (false);
     TimePoint now = start;
     TimePoint configurationChanged = start;
 };
--- a/tests/unit/NewsTests.cpp
+++ b/tests/unit/NewsTests.cpp
@@ -9,21 +9,21 @@
 
 TEST_CASE ("a proof that is handed on counts from its question, however late the answer comes")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     asker.configuration.provenAt = start - 10s;
     reader.configuration.provenAt = start + 1s;
 
     // The answer lies in a paused process for three seconds.
-    exchange (asker, reader, start + 2s, 3s);
+    queryReader (asker, reader, start + 2s, 3s);
     CHECK (asker.configuration.provenAt <= start + 1s);
     CHECK (asker.configuration.provenAt >= start - 1s);
 }
 
 TEST_CASE ("only an answer to a question of one's own is taken, and once")
 {
-    const auto reader = knowing (true);
-    auto asker = knowing (false);
+    const auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     asker.configuration.provenAt = start - 10s;
     const auto question = makeQuestion (asker.news, asker.directory, "asker", start);
     const auto answer =
@@ -43,23 +43,23 @@
 
 TEST_CASE ("a proof of another configuration proves nothing, and a newer one is asked for")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     asker.configuration.provenAt = start - 1s;
     reader.configuration.current = configurationAt (8);
 
-    CHECK (exchange (asker, reader, start).newerConfiguration);
+    CHECK (queryReader (asker, reader, start).newerConfiguration);
     CHECK (asker.configuration.provenAt == start - 1s);
     CHECK (mustCheckConfiguration (asker.news, asker.configuration, start));
 
     // Told once: the node has been woken for it.
-    CHECK_FALSE (exchange (asker, reader, start).newerConfiguration);
+    CHECK_FALSE (queryReader (asker, reader, start).newerConfiguration);
     asker.configuration.current = configurationAt (8);
     CHECK_FALSE (mustCheckConfiguration (asker.news, asker.configuration, start));
 
     reader.configuration.current = configurationAt (5);
     reader.configuration.provenAt = start + 1s;
-    exchange (asker, reader, start + 1s);
+    queryReader (asker, reader, start + 1s);
     CHECK (asker.configuration.provenAt == start - 1s);
 }
 
@@ -67,9 +67,9 @@
 TEST_CASE (
     "a proof is overdue at the same time as the news that it rests on, and a node's own word renews it")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
-    exchange (asker, reader, start);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
+    queryReader (asker, reader, start);
     CHECK (proofOverdueAt (asker.news, asker.configuration) == start + newsLimit);
     CHECK_FALSE (mustCheckConfiguration (asker.news, asker.configuration, start + newsLimit - 1ms));
     CHECK (mustCheckConfiguration (asker.news, asker.configuration, start + newsLimit));
@@ -86,16 +86,16 @@
 
 TEST_CASE ("a node asks the store itself when its readers are silent or have no news themselves")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     CHECK (asksStore (asker.news, start));
 
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK_FALSE (asksStore (asker.news, start + newsLimit - 1ms));
     CHECK (asksStore (asker.news, start + newsLimit + 1ms));
 
     // The reader is cut off: its answers come, and prove nothing new.
-    exchange (asker, reader, start + 2s);
+    queryReader (asker, reader, start + 2s);
     CHECK (asksStore (asker.news, start + 2s));
     CHECK (asksStore (reader.news, start));
 }
@@ -103,29 +103,29 @@
 TEST_CASE ("before there is a configuration nodes leave it to their readers to look for one")
 {
     // Hundreds of nodes are started seconds before the operators write the first one.
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     reader.configuration = asker.configuration = ConfigurationState();
 
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK_FALSE (asksStore (asker.news, start));
     CHECK_FALSE (mustCheckConfiguration (asker.news, asker.configuration, start));
     CHECK (mustCheckConfiguration (reader.news, reader.configuration, start));
 
     // The first one is heard of, by the news or by a report, and told on even where it could not be read yet.
     reader.configuration.current = configurationAt (5);
-    exchange (asker, reader, start + 200ms);
+    queryReader (asker, reader, start + 200ms);
     CHECK (mustCheckConfiguration (asker.news, asker.configuration, start + 200ms));
     CHECK (newestConfigurationKnown (asker.news, asker.configuration) == 5);
 }
 
 TEST_CASE ("a reader that has just started and listed no replicas has no news of them")
 {
-    Knowledge reader;
-    auto asker = knowing (false);
+    StoreView reader;
+    auto asker = makeStoreView (false);
     reader.news.ownProvenAt = start + 1s;
 
-    exchange (asker, reader, start + 1s);
+    queryReader (asker, reader, start + 1s);
     CHECK (asksStore (asker.news, start + 1s));
     CHECK_FALSE (asker.news.needsList);
 }
@@ -149,54 +149,54 @@
 TEST_CASE ("a reader that has proofs from others but not their changes of replicas is no source of them")
 {
     // Found by a hunt: a node followed a reader that was cut off, and sent to a leaving replica for 2.8 s.
-    auto source = knowing (true);
-    auto cutOff = knowing (true);
-    auto asker = knowing (false);
+    auto source = makeStoreView (true);
+    auto cutOff = makeStoreView (true);
+    auto asker = makeStoreView (false);
     source.configuration.provenAt = source.news.ownProvenAt = start + 4s;
     source.directory.removalsKnownAfter = 9;
-    exchange (cutOff, source, start + 4s);
+    queryReader (cutOff, source, start + 4s);
     CHECK (cutOff.configuration.provenAt > start + 3s);
 
-    exchange (asker, cutOff, start + 4s);
+    queryReader (asker, cutOff, start + 4s);
     CHECK (asker.configuration.provenAt > start + 3s);
     CHECK (asksStore (asker.news, start + 4s));
 }
 
 TEST_CASE ("changes of replicas are handed on after what the asker knows")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     applyEntry (reader.directory, replicaEntry ("three", 7));
     applyRemoval (reader.directory, "replicas/one", { 8, false }, start);
     reader.directory.revision = 9;
 
-    CHECK (exchange (asker, reader, start).directory);
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "two", "three" });
+    CHECK (queryReader (asker, reader, start).directory);
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "two", "three" });
     CHECK (asker.directory.revision == 9);
-    CHECK_FALSE (exchange (asker, reader, start).directory);
+    CHECK_FALSE (queryReader (asker, reader, start).directory);
 
     // A reader that is behind brings nothing back.
-    const auto behind = knowing (true);
-    exchange (asker, behind, start);
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "two", "three" });
+    const auto behind = makeStoreView (true);
+    queryReader (asker, behind, start);
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "two", "three" });
 }
 
 TEST_CASE ("many changes are told the oldest first, and the rest when asked again")
 {
     constexpr auto count = 100U;
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
 
     for (auto number = 0U; number < count; ++number)
         applyEntry (reader.directory, replicaEntry ("more-" + std::to_string (number), 10 + number));
 
     reader.directory.revision = 200;
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK (asker.directory.entries.size() < count);
     CHECK (asker.directory.entries.contains ("replicas/more-0"));
 
-    exchange (asker, reader, start);
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK (asker.directory.entries.size() == count + 2);
     CHECK (asker.directory.revision == 200);
 }
@@ -204,7 +204,7 @@
 TEST_CASE ("the fullest answer fits a datagram and comes back as it was")
 {
     constexpr auto count = 200U;
-    auto reader = knowing (true);
+    auto reader = makeStoreView (true);
     NewsState news;
 
     for (auto number = 0U; number < count; ++number)
@@ -236,127 +236,127 @@
 
 TEST_CASE ("a node that knows less than the removals kept has to list")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     reader.directory.removalsKnownAfter = 7;
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK (asker.news.needsList);
     CHECK (asksStore (asker.news, start));
 
     // A reader lists in turn anyway.
-    auto other = knowing (true);
-    exchange (other, reader, start);
+    auto other = makeStoreView (true);
+    queryReader (other, reader, start);
     CHECK_FALSE (other.news.needsList);
 }
 
 TEST_CASE ("a node need not list for a reader that has just started while the other one tells all changes")
 {
-    auto reader = knowing (true);
-    auto restarted = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto restarted = makeStoreView (true);
+    auto asker = makeStoreView (false);
     restarted.directory.removalsKnownAfter = 7;
-    exchange (asker, reader, start);
-    exchange (asker, restarted, start + 200ms);
+    queryReader (asker, reader, start);
+    queryReader (asker, restarted, start + 200ms);
     CHECK_FALSE (asker.news.needsList);
 
     // The other one falls silent.
     restarted.news.ownProvenAt = start + 1500ms;
-    exchange (asker, restarted, start + 1500ms);
+    queryReader (asker, restarted, start + 1500ms);
     CHECK (asker.news.needsList);
 }
 
 TEST_CASE ("changes that a reader had missed make the others list")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     reader.directory.revision = 9;
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK_FALSE (asker.news.needsList);
 
     // A watch was silent about revision 8; the list tells.
     applyList (reader.directory, { { replicaEntry ("one", 3), replicaEntry ("two", 8) }, {} }, 10, start,
                ListReason::check);
     CHECK (reader.directory.missedChanges == 1);
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK (asker.news.needsList);
 }
 
 TEST_CASE ("an entry that lapses in an outage is kept for as long as the reader keeps it")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
     reader.directory.keepMissingUntil = start + lapseTime;
     applyRemoval (reader.directory, "replicas/one", { 8, false }, start);
     reader.directory.revision = 8;
 
-    exchange (asker, reader, start);
+    queryReader (asker, reader, start);
     CHECK (asker.directory.entries.at ("replicas/one").isMissing);
 
     // Each answer keeps it on until the reader gives it up.
     for (auto passed = 200ms; passed < 1200ms; passed += 200ms)
     {
         CHECK_FALSE (dropMissing (asker.directory, start + passed));
-        exchange (asker, reader, start + passed);
+        queryReader (asker, reader, start + passed);
     }
 
     // It is back.
     applyEntry (reader.directory, replicaEntry ("one", 9));
     reader.directory.revision = 9;
-    exchange (asker, reader, start + 1200ms);
+    queryReader (asker, reader, start + 1200ms);
     CHECK_FALSE (dropMissing (asker.directory, start + lapseTime + 1s));
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "one", "two" });
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "one", "two" });
 }
 
 TEST_CASE ("a reader that alone is cut off makes nobody keep replicas that are gone")
 {
     // Found by a hunt: the cut reader took the store for away, and its followers kept a removed replica for 2.8 s.
-    auto source = knowing (true);
-    auto cutOff = knowing (true);
-    auto asker = knowing (false);
+    auto source = makeStoreView (true);
+    auto cutOff = makeStoreView (true);
+    auto asker = makeStoreView (false);
     cutOff.directory.keepMissingUntil = TimePoint::max();
-    exchange (asker, cutOff, start + 500ms);
+    queryReader (asker, cutOff, start + 500ms);
     CHECK (asker.directory.keepMissingUntil <= start + 1200ms);
 
     // Others have the store: the cut node learns so, and so do those that follow it.
     source.news.ownProvenAt = source.configuration.provenAt = start + 2s;
     applyRemoval (source.directory, "replicas/one", { 8, false }, start + 2s);
     source.directory.revision = 8;
-    exchange (cutOff, source, start + 2s);
+    queryReader (cutOff, source, start + 2s);
     CHECK_FALSE (cutOff.directory.entries.contains ("replicas/one"));
-    exchange (asker, cutOff, start + 2100ms);
+    queryReader (asker, cutOff, start + 2100ms);
     CHECK (asker.directory.keepMissingUntil <= start + 2200ms);
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "two" });
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "two" });
 }
 
 TEST_CASE ("an entry that can't be read any more names no replica, here and where it is told, until it can "
            "be read again")
 {
-    auto reader = knowing (true);
-    auto asker = knowing (false);
+    auto reader = makeStoreView (true);
+    auto asker = makeStoreView (false);
 
     // Not even right after an outage, when entries that go are kept for a while.
     reader.directory.keepMissingUntil = start + 10s;
     applyRemoval (reader.directory, "replicas/one", { 8, true }, start);
     reader.directory.revision = 8;
-    CHECK (namesIn (reader.directory) == std::set<std::string> { "two" });
+    CHECK (replicaNames (reader.directory) == std::set<std::string> { "two" });
 
-    exchange (asker, reader, start);
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "two" });
+    queryReader (asker, reader, start);
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "two" });
 
     // A list says the same, and the others hold.
     applyList (reader.directory, { { replicaEntry ("two", 4) }, { { "replicas/one", { 8, true } } } }, 8,
                start, ListReason::check);
-    CHECK (namesIn (reader.directory) == std::set<std::string> { "two" });
+    CHECK (replicaNames (reader.directory) == std::set<std::string> { "two" });
 
     applyEntry (reader.directory, replicaEntry ("one", 10));
     reader.directory.revision = 10;
-    exchange (asker, reader, start + 1s);
-    CHECK (namesIn (asker.directory) == std::set<std::string> { "one", "two" });
+    queryReader (asker, reader, start + 1s);
+    CHECK (replicaNames (asker.directory) == std::set<std::string> { "one", "two" });
 }
 
 TEST_CASE ("a late write of a replica's earlier start does not bring it back")
 {
-    auto node = knowing (true);
+    auto node = makeStoreView (true);
     auto entry = replicaEntry ("one", 7);
     entry.info.born = 2000;
     applyEntry (node.directory, entry);
@@ -368,9 +368,9 @@
     CHECK_FALSE (node.directory.entries.at ("replicas/one").isLeaving);
 
     // Told on with the replica.
-    auto asker = knowing (false);
+    auto asker = makeStoreView (false);
     node.directory.revision = 8;
-    exchange (asker, node, start);
+    queryReader (asker, node, start);
     CHECK (asker.directory.entries.at ("replicas/one").info.born == 2000);
 }
 
@@ -394,16 +394,16 @@
 TEST_CASE (
     "a node whose reader can't read a newer configuration hears of it, though its other news stay fresh")
 {
-    auto reader = knowing (true);
-    auto member = knowing (false);
-    auto elsewhere = knowing (true);
+    auto reader = makeStoreView (true);
+    auto member = makeStoreView (false);
+    auto elsewhere = makeStoreView (true);
     elsewhere.configuration.current = configurationAt (9);
 
     // The store turns the reader away; another reader's word keeps its knowledge of the replicas fresh.
     const auto later = start + 3s;
     elsewhere.news.ownProvenAt = later;
-    exchange (reader, elsewhere, later);
-    exchange (member, reader, later + 10ms);
+    queryReader (reader, elsewhere, later);
+    queryReader (member, reader, later + 10ms);
     REQUIRE_FALSE (asksStore (member.news, later + 20ms));
     REQUIRE (member.configuration.current->revision == 5);
 
--- a/tests/unit/PlatformFaceTests.cpp
+++ b/tests/unit/PlatformFaceTests.cpp
@@ -82,7 +82,7 @@
     CHECK (settings.listenPeers == "127.0.0.1:7600");
     CHECK (settings.reportsUsage);
     CHECK_FALSE (settings.ordersReplicas);
-    CHECK (settings.revocation == 4s);
+    CHECK (settings.revocationTime == 4s);
 }
 
 TEST_CASE ("what is wrong with the platform's settings is told with file, line and field")
@@ -108,7 +108,7 @@
     CHECK (request.host == "one.example");
     CHECK (request.path == "/a/b");
     CHECK (request.key == "key-one");
-    CHECK (request.patience == Duration (1500ms));
+    CHECK (request.timeLimit == Duration (1500ms));
     CHECK (request.message.target() == "/a/b?c=d");
     CHECK (request.message.body() == "body");
     CHECK (request.message["X-Own"] == "kept");
@@ -165,10 +165,10 @@
     CHECK (one.promptTokens == 1460.0);
     CHECK (one.answerTokens == 80.0);
     REQUIRE (one.parts.size() == 3);
-    CHECK (one.parts[1].tokensSoFar == 1210.0);
-    CHECK (one.parts[1].chain == two.parts[1].chain);
-    CHECK (one.parts[2].chain != two.parts[2].chain);
-    CHECK (one.parts[0].chain != three.parts[0].chain);
+    CHECK (one.parts[1].prefixTokens == 1210.0);
+    CHECK (one.parts[1].prefixHash == two.parts[1].prefixHash);
+    CHECK (one.parts[2].prefixHash != two.parts[2].prefixHash);
+    CHECK (one.parts[0].prefixHash != three.parts[0].prefixHash);
 }
 
 TEST_CASE ("malformed requests are told what is wrong")
@@ -205,15 +205,15 @@
     head.set ("X-Server-Load", "3,1,8");
 
     const auto own = protocol.readAnswer (head, "9c41");
-    CHECK (own.isOwn);
+    CHECK (own.belongsToRequest);
     CHECK (own.isSuccess);
     REQUIRE (own.load);
     CHECK (own.load->running == 3);
     CHECK (own.load->waiting == 1);
-    CHECK_FALSE (protocol.readAnswer (head, "other").isOwn);
+    CHECK_FALSE (protocol.readAnswer (head, "other").belongsToRequest);
 
     head.erase ("X-Response-Signature");
-    CHECK_FALSE (protocol.readAnswer (head, "9c41").isOwn);
+    CHECK_FALSE (protocol.readAnswer (head, "9c41").belongsToRequest);
 }
 
 TEST_CASE ("only a replica's own word says that it did not run a request")
@@ -222,15 +222,15 @@
     http::response_header<> head;
     head.result (503);
     head.set ("X-Request-Id", "9c41");
-    CHECK_FALSE (protocol.readAnswer (head, "9c41").isNotRun);
+    CHECK_FALSE (protocol.readAnswer (head, "9c41").wasNotRun);
 
     head.set ("X-Not-Executed", "1");
-    CHECK (protocol.readAnswer (head, "9c41").isNotRun);
+    CHECK (protocol.readAnswer (head, "9c41").wasNotRun);
 
     http::response_header<> elsewhere;
     elsewhere.result (421);
-    CHECK (protocol.readAnswer (elsewhere, "9c41").isNotRun);
-    CHECK (protocol.readAnswer (elsewhere, "9c41").isOtherReplica);
+    CHECK (protocol.readAnswer (elsewhere, "9c41").wasNotRun);
+    CHECK (protocol.readAnswer (elsewhere, "9c41").isAddressReassigned);
 }
 
 TEST_CASE ("when to come back is told in fractions of a second, and only where nothing ran")
--- a/tests/unit/ServingFixtures.h
+++ b/tests/unit/ServingFixtures.h
@@ -24,7 +24,7 @@
 }
 
 /** What one node has of the store. */
-struct Knowledge
+struct StoreView
 {
     NewsState news;
     ConfigurationState configuration;
@@ -39,9 +39,9 @@
 }
 
 /** A node with a configuration of revision 5 and two replicas, proved at `start`. */
-inline auto knowing (bool isReader) -> Knowledge
+inline auto makeStoreView (bool isReader) -> StoreView
 {
-    Knowledge node;
+    StoreView node;
     node.news.isReader = isReader;
     node.news.needsList = false;
     node.configuration.current = configurationAt (5);
@@ -52,16 +52,16 @@
 }
 
 /** Asks and is answered, with `way` between the question and its answer's arrival. */
-inline auto exchange (Knowledge& asker, const Knowledge& reader, TimePoint sent, Duration way = 1ms)
+inline auto queryReader (StoreView& querier, const StoreView& reader, TimePoint sent, Duration roundTrip = 1ms)
     -> NewsEffect
 {
-    const auto question = makeQuestion (asker.news, asker.directory, "asker", sent);
+    const auto question = makeQuestion (querier.news, querier.directory, "asker", sent);
     auto answer =
-        makeAnswer (question, reader.news, reader.configuration, reader.directory, "reader", sent + way / 2);
-    return takeAnswer (asker.news, asker.configuration, asker.directory, std::move (answer), sent + way);
+        makeAnswer (question, reader.news, reader.configuration, reader.directory, "reader", sent + roundTrip / 2);
+    return takeAnswer (querier.news, querier.configuration, querier.directory, std::move (answer), sent + roundTrip);
 }
 
-inline auto namesIn (const ReplicaDirectory& directory) -> std::set<std::string>
+inline auto replicaNames (const ReplicaDirectory& directory) -> std::set<std::string>
 {
     std::set<std::string> names;
 
--- a/tests/unit/ServingTests.cpp
+++ b/tests/unit/ServingTests.cpp
@@ -197,16 +197,16 @@
 {
     const auto limits = account (1000.0, 5000.0);
     const QuotaBounds bounds;
-    SharedQuota unaware;
-    unaware.charge ({ { "alpha", 50'000.0 } }, start);
+    SharedQuota withoutRequests;
+    withoutRequests.charge ({ { "alpha", 50'000.0 } }, start);
     SharedQuota starting;
-    starting.adopt (unaware.admitted (start + 10s), start + 10s);
+    starting.adopt (withoutRequests.admitted (start + 10s), start + 10s);
     CHECK (starting.admit (limits, 100.0, bounds, start + 10s).admitted);
 
-    SharedQuota aware;
-    aware.admit (limits, 3000.0, bounds, start + 10s);
+    SharedQuota withRequests;
+    withRequests.admit (limits, 3000.0, bounds, start + 10s);
     SharedQuota second;
-    second.adopt (aware.admitted (start + 10s), start + 10s);
+    second.adopt (withRequests.admitted (start + 10s), start + 10s);
     CHECK_FALSE (second.admit (limits, 100.0, bounds, start + 10s).admitted);
 }
 
@@ -222,9 +222,9 @@
     unsettled.evenShare = 0.5;
     SharedQuota first (start);
     first.admit (limits, 100.0, unsettled, start);
-    SharedQuota aware (start - 10s);
-    aware.admit (limits, 100.0, QuotaBounds(), start);
-    first.adopt (aware.admitted (start), start);
+    SharedQuota withRequests (start - 10s);
+    withRequests.admit (limits, 100.0, QuotaBounds(), start);
+    first.adopt (withRequests.admitted (start), start);
 
     for (auto second = 1; second <= 3; ++second)
         first.charge ({ { "alpha", 1000.0 } }, start + second * 1s);
@@ -461,13 +461,13 @@
 {
     EventAssembler events;
     CHECK (events.add ("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
-    CHECK (events.lastEvent() == "1");
+    CHECK (events.lastEventId() == "1");
     CHECK (events.hasPartial());
     CHECK (events.add ("ta: id: 9\n\n") == "id: 2\ndata: id: 9\n\n");
-    CHECK (events.lastEvent() == "2");
+    CHECK (events.lastEventId() == "2");
 
     CHECK (events.add ("id: 3\r\ndata: b\r\n\r\nid: 4").size() == 18);
-    CHECK (events.lastEvent() == "3");
+    CHECK (events.lastEventId() == "3");
     events.dropPartial();
     CHECK_FALSE (events.hasPartial());
     CHECK (events.add ("id: 4\ndata: c\n\n") == "id: 4\ndata: c\n\n");
