--- a/modules/snowrudder_serving/crashes/CrashMonitor.cpp
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.cpp
@@ -96,10 +96,12 @@
     }
 
     for (auto& [number, attempts] : expired)
-        asio::co_spawn (probes.executor(), probeExpiredReplica (probes, std::move (attempts)), asio::detached);
+        asio::co_spawn (probes.executor(), probeExpiredReplica (probes, std::move (attempts)),
+                        asio::detached);
 }
 
-auto CrashMonitor::probeExpiredReplica (SharedProbes& probes, std::vector<InterruptedAttempt> expired) -> Task<void>
+auto CrashMonitor::probeExpiredReplica (SharedProbes& probes, std::vector<InterruptedAttempt> expired)
+    -> Task<void>
 {
     const auto& replica = expired.front().replica;
     const auto address = co_await probes.probeListener (replica.endpoint);
@@ -120,9 +122,9 @@
 }
 
 auto CrashMonitor::receiveEvidence (const std::vector<CrashEvidence>& received,
-                       std::string_view from,
-                       bool shouldForward,
-                       TimePoint now) -> void
+                                    std::string_view from,
+                                    bool shouldForward,
+                                    TimePoint now) -> void
 {
     auto isNew = false;
 
--- a/modules/snowrudder_serving/crashes/CrashMonitor.h
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.h
@@ -66,8 +66,10 @@
         @param from           name of that node, for the log
         @param shouldForward  whether this node forwards evidence that is new to it
     */
-    auto receiveEvidence (const std::vector<CrashEvidence>& received, std::string_view from, bool shouldForward, TimePoint now)
-        -> void;
+    auto receiveEvidence (const std::vector<CrashEvidence>& received,
+                          std::string_view from,
+                          bool shouldForward,
+                          TimePoint now) -> void;
 
     /** @returns whether a request may be sent to a replica now. */
     [[nodiscard]] auto judge (const RequestFingerprint& request, TimePoint now) const -> CrashJudgement
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -216,7 +216,8 @@
     while (SteadyClock::now() < drainStart)
     {
         co_await membership.lookForOthers();
-        co_await pauseFor (state.loop, std::min<Duration> (peerPollInterval, drainStart - SteadyClock::now()));
+        co_await pauseFor (state.loop,
+                           std::min<Duration> (peerPollInterval, drainStart - SteadyClock::now()));
     }
 
     state.isDrained = true;
--- a/modules/snowrudder_serving/queue/ServiceQueues.h
+++ b/modules/snowrudder_serving/queue/ServiceQueues.h
@@ -59,7 +59,8 @@
         @param account  client account of the request
         @param heldFor  how long the permit was held
     */
-    auto release (const std::string& service, const std::string& account, Duration heldFor, TimePoint now) -> void;
+    auto release (const std::string& service, const std::string& account, Duration heldFor, TimePoint now)
+        -> void;
 
     /** Sets the number of permits from the estimated capacity of the replicas. */
     auto setCapacity (const std::string& service, const ServiceCapacity& capacity, TimePoint now) -> void;
--- a/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
@@ -34,7 +34,9 @@
 
 } // namespace
 
-RoutedRequestRunner::RoutedRequestRunner (ServingState& servingState, Exchange& callerExchange, RoutedRequest routedRequest)
+RoutedRequestRunner::RoutedRequestRunner (ServingState& servingState,
+                                          Exchange& callerExchange,
+                                          RoutedRequest routedRequest)
     : state (servingState), exchange (callerExchange), request (std::move (routedRequest)),
       prompt (promptOf (request.caller))
 {
@@ -220,7 +222,9 @@
     co_return co_await relayPlain (call);
 }
 
-auto RoutedRequestRunner::processHead (UpstreamCall& call, const UpstreamAnswer& answer, ReplicaTicket& ticket) -> Failure
+auto RoutedRequestRunner::processHead (UpstreamCall& call,
+                                       const UpstreamAnswer& answer,
+                                       ReplicaTicket& ticket) -> Failure
 {
     const auto now = SteadyClock::now();
 
@@ -386,8 +390,9 @@
     return state.replicas.take (request.service, input, routedWeights(), now);
 }
 
-auto RoutedRequestRunner::recordForRollout (const ReplicaTicket& ticket, const Failure& outcome, const UpstreamCall& call)
-    -> void
+auto RoutedRequestRunner::recordForRollout (const ReplicaTicket& ticket,
+                                            const Failure& outcome,
+                                            const UpstreamCall& call) -> void
 {
     const auto isInconclusive = [&outcome]
     {
@@ -432,7 +437,8 @@
     return decision;
 }
 
-auto RoutedRequestRunner::respondWithFailure (const AttemptOutcome& outcome, const RetryDecision& decision) -> Task<void>
+auto RoutedRequestRunner::respondWithFailure (const AttemptOutcome& outcome, const RetryDecision& decision)
+    -> Task<void>
 {
     // An answer that was partly relayed can't be replaced by an error: closing the connection early shows that it is
     // incomplete.
--- a/tests/unit/CrashProofTests.cpp
+++ b/tests/unit/CrashProofTests.cpp
@@ -58,7 +58,7 @@
 
 // All entries expire while the store is unavailable. When an expired entry counted as a crash, requests that every
 // caller sends were refused at all nodes (`request_stopped proof=entry_gone crashes=3`).
-TEST_CASE ("A body that every caller sends is not suspected when entries expire while its answers are interrupted")
+TEST_CASE ("A common request is not suspected when entries expire while its answers are interrupted")
 {
     constexpr auto replicas = std::size_t { 12 };
 
--- a/tests/unit/HerdTests.cpp
+++ b/tests/unit/HerdTests.cpp
@@ -189,7 +189,8 @@
 
         for (auto& table : tables)
             for (auto index = std::size_t { 0 }; index < hashes.size(); ++index)
-                table.noteLoadHeard (hashes[index], inFlightReports.front().loads[index], inFlightReports.front().measuredAt);
+                table.noteLoadHeard (hashes[index], inFlightReports.front().loads[index],
+                                     inFlightReports.front().measuredAt);
 
         inFlightReports.pop_front();
     }
--- a/tests/unit/ServingFixtures.h
+++ b/tests/unit/ServingFixtures.h
@@ -54,13 +54,16 @@
 }
 
 /** Queries a reader for store updates and applies its response, which arrives `roundTrip` after the query was sent. */
-inline auto queryReader (StoreView& querier, const StoreView& reader, TimePoint sent, Duration roundTrip = 1ms)
-    -> NewsEffect
+inline auto queryReader (StoreView& querier,
+                         const StoreView& reader,
+                         TimePoint sent,
+                         Duration roundTrip = 1ms) -> NewsEffect
 {
     const auto question = makeQuestion (querier.news, querier.directory, "asker", sent);
-    auto answer =
-        makeAnswer (question, reader.news, reader.configuration, reader.directory, "reader", sent + roundTrip / 2);
-    return takeAnswer (querier.news, querier.configuration, querier.directory, std::move (answer), sent + roundTrip);
+    auto answer = makeAnswer (question, reader.news, reader.configuration, reader.directory, "reader",
+                              sent + roundTrip / 2);
+    return takeAnswer (querier.news, querier.configuration, querier.directory, std::move (answer),
+                       sent + roundTrip);
 }
 
 inline auto replicaNames (const ReplicaDirectory& directory) -> std::set<std::string>
--- a/tests/unit/ServingTests.cpp
+++ b/tests/unit/ServingTests.cpp
@@ -95,7 +95,7 @@
     CHECK_FALSE (isFresh (state, bounds, start + 4801ms));
 }
 
-TEST_CASE ("replicas whose entries expired during a store outage are kept until they had time to register again")
+TEST_CASE ("replicas whose entries expired in a store outage are kept until they had time to return")
 {
     ReplicaDirectory directory;
     applyList (directory, { { replicaEntry ("one", 3), replicaEntry ("two", 4) }, {} }, 5, start);
@@ -112,7 +112,7 @@
     CHECK (directory.entries.contains ("replicas/one"));
 }
 
-TEST_CASE ("a replica that is removed while the store is available is dropped at once, by a list or by a removal")
+TEST_CASE ("a replica removed while the store is available is dropped at once, by list or by removal")
 {
     ReplicaDirectory directory;
     applyList (directory, { { replicaEntry ("one", 3), replicaEntry ("two", 4) }, {} }, 5, start);
@@ -192,7 +192,7 @@
     CHECK (drainQuota (quota, account (1000.0, 10'000.0), 100.0, start) <= 1600.0);
 }
 
-TEST_CASE ("a node that starts adopts the level of an account only from a node that had requests of the account")
+TEST_CASE ("a starting node adopts an account's level only from a node that had requests of the account")
 {
     const auto limits = account (1000.0, 5000.0);
     const QuotaBounds bounds;
@@ -209,7 +209,7 @@
     CHECK_FALSE (second.admit (limits, 100.0, bounds, start + 10s).admitted);
 }
 
-TEST_CASE ("a node that adopted a level and has had no request of the account since does not pass the level on")
+TEST_CASE ("a node passes an adopted level on only if it has had a request of the account since")
 {
     // A node starts, has a request, adopts the level of another node, and has no more requests of the account. Its
     // bucket is charged with what the others admit, but refilled only by its own requests: after 3 s of full use it
@@ -328,7 +328,7 @@
     CHECK (peers.note (report, start + 11s)["alpha"] == Approx (25.0));
 }
 
-TEST_CASE ("usage counts of a node survive its restart, and are counted once when two readers of a domain report them")
+TEST_CASE ("usage counts survive a node's restart, and count once if two readers of a domain report them")
 {
     UsageGathering reader ("hall-a");
     UsageNotice notice;
