--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -199,7 +199,8 @@
     if (outcome && outcome->cause == FailureCause::moved)
         co_await exportCache (ticket.info);
 
-    state.replicas.release (ticket, outcome ? attemptHealthOf (*outcome) : AttemptHealth::good, SteadyClock::now());
+    state.replicas.release (ticket, outcome ? attemptHealthOf (*outcome) : AttemptHealth::good,
+                            SteadyClock::now());
 
     earlierTokens += attemptTokens;
     attemptTokens = 0;
@@ -218,7 +219,8 @@
     if (! mayShowCrash (outcome))
         co_return "not_asked";
 
-    InterruptedAttempt ended { fingerprint, idText, account->name, lastNumber, lastReplica, SteadyClock::now() };
+    InterruptedAttempt ended { fingerprint, idText,      account->name,
+                               lastNumber,  lastReplica, SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
 
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -71,7 +71,7 @@
         co_return "not_asked";
 
     InterruptedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
-                           ticket.number,     ticket.info,         SteadyClock::now() };
+                               ticket.number,     ticket.info,         SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
 
--- a/modules/snowrudder_router/plain/PlainHandler.cpp
+++ b/modules/snowrudder_router/plain/PlainHandler.cpp
@@ -138,7 +138,7 @@
     queued.deadline = turnDeadline (*input.service, SteadyClock::now(), input.deadline);
     const auto mostQueued = settings.has_queue_limit() ? settings.queue_limit() : usualQueue;
     return state.queues.acquire (input.service->name, std::move (queued), mostQueued,
-                               worker.loop.get_executor());
+                                 worker.loop.get_executor());
 }
 
 /** Notes a call that a replica answered with success and whole, as far as its answer was read here. */
--- a/modules/snowrudder_serving/attempt/AttemptErrors.cpp
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.cpp
@@ -44,9 +44,9 @@
 }
 
 auto attemptFailedLine (std::string_view requestId,
-                    std::uint32_t attempt,
-                    const AttemptOutcome& outcome,
-                    const RetryDecision& decision) -> LogLine
+                        std::uint32_t attempt,
+                        const AttemptOutcome& outcome,
+                        const RetryDecision& decision) -> LogLine
 {
     LogLine line ("attempt_failed");
     line.with ("request", requestId)
--- a/modules/snowrudder_serving/attempt/AttemptErrors.h
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.h
@@ -18,9 +18,9 @@
 
 /** @returns the log line for a failed attempt. The caller adds fields and writes it. */
 auto attemptFailedLine (std::string_view requestId,
-                    std::uint32_t attempt,
-                    const AttemptOutcome& outcome,
-                    const RetryDecision& decision) -> LogLine;
+                        std::uint32_t attempt,
+                        const AttemptOutcome& outcome,
+                        const RetryDecision& decision) -> LogLine;
 
 /** @returns the error for the caller of a request that is not sent because it crashes the replicas that run it.
 
--- a/modules/snowrudder_serving/crashes/CrashMonitor.cpp
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.cpp
@@ -154,9 +154,9 @@
 }
 
 auto CrashMonitor::reportStopped (const RequestFingerprint& request,
-                              std::string_view requestId,
-                              const CrashJudgement& judgement,
-                              TimePoint now) -> void
+                                  std::string_view requestId,
+                                  const CrashJudgement& judgement,
+                                  TimePoint now) -> void
 {
     crashes.noteStopped (request, now);
     requestsStopped.add();
@@ -169,9 +169,9 @@
 }
 
 auto CrashMonitor::waitForVerdict (asio::io_context& loop,
-                                 RequestFingerprint request,
-                                 std::string service,
-                                 std::function<bool()> isCancelled) -> Task<CrashJudgement>
+                                   RequestFingerprint request,
+                                   std::string service,
+                                   std::function<bool()> isCancelled) -> Task<CrashJudgement>
 {
     auto judgement = crashes.judge (request, SteadyClock::now());
 
--- a/modules/snowrudder_serving/crashes/CrashMonitor.h
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.h
@@ -79,9 +79,9 @@
 
     /** Records and logs that a request was not sent to a replica because of its verdict. */
     auto reportStopped (const RequestFingerprint& request,
-                      std::string_view requestId,
-                      const CrashJudgement& judgement,
-                      TimePoint now) -> void;
+                        std::string_view requestId,
+                        const CrashJudgement& judgement,
+                        TimePoint now) -> void;
 
     /** Waits until a request may be sent or is stopped. A suspected request runs only once at a time on this node,
         and after several crashes it first waits for evidence from other nodes to arrive.
--- a/modules/snowrudder_serving/crashes/SharedProbes.cpp
+++ b/modules/snowrudder_serving/crashes/SharedProbes.cpp
@@ -27,14 +27,14 @@
 auto SharedProbes::probe (const std::string& endpoint) -> Task<EndpointState>
 {
     const auto now = SteadyClock::now();
-    const auto cached = probes.find (endpoint);
+    const auto found = probes.find (endpoint);
     const auto isUsable =
-        cached != probes.end() && (! cached->second->state || (cached->second->state == EndpointState::refuses &&
-                                                             now - cached->second->ended < refusalCacheTime));
+        found != probes.end() && (! found->second->state || (found->second->state == EndpointState::refuses &&
+                                                             now - found->second->ended < refusalCacheTime));
 
     if (isUsable)
     {
-        const auto shared = cached->second;
+        const auto shared = found->second;
 
         while (! shared->state)
             co_await pauseFor (loop, probePollInterval);
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -131,7 +131,7 @@
             (usage->isOfRollouts ? state.rollouts.others() : state.usageOfOthers).note (*usage);
         else if (const auto* crashes = std::get_if<CrashNotice> (&*message))
             state.crashes.receiveEvidence (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
-                                SteadyClock::now());
+                                           SteadyClock::now());
         else
             take (std::get<LoadNotice> (*message));
     }
--- a/modules/snowrudder_serving/queue/ServiceQueues.cpp
+++ b/modules/snowrudder_serving/queue/ServiceQueues.cpp
@@ -23,16 +23,16 @@
     const auto free = std::max (0.0, capacity.slots - capacity.busy);
     const auto places = std::max (1.0, even + free * shareOfFree);
     const auto reserved = capacity.slots * capacity.keptShare;
-    const auto evenUnderOverload = (capacity.slots - reserved) / routers;
-    const auto placesInFlood = std::max (1.0, evenUnderOverload + std::max (0.0, free - reserved) * shareOfFree);
+    const auto evenInOverload = (capacity.slots - reserved) / routers;
+    const auto placesInFlood = std::max (1.0, evenInOverload + std::max (0.0, free - reserved) * shareOfFree);
     return { static_cast<std::uint32_t> (std::ceil (places)),
              static_cast<std::uint32_t> (std::ceil (placesInFlood)) };
 }
 
 auto ServiceQueues::acquire (std::string service,
-                           QueuedRequest wanted,
-                           std::uint32_t mostQueued,
-                           asio::any_io_executor executor) -> Task<PermitOutcome>
+                             QueuedRequest wanted,
+                             std::uint32_t mostQueued,
+                             asio::any_io_executor executor) -> Task<PermitOutcome>
 {
     PermitOutcome permit;
     std::shared_ptr<Waiter> waiter;
@@ -82,9 +82,9 @@
 }
 
 auto ServiceQueues::release (const std::string& service,
-                           const std::string& account,
-                           Duration heldFor,
-                           TimePoint now) -> void
+                             const std::string& account,
+                             Duration heldFor,
+                             TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
     auto& entry = services[service];
--- a/modules/snowrudder_serving/queue/ServiceQueues.h
+++ b/modules/snowrudder_serving/queue/ServiceQueues.h
@@ -50,9 +50,9 @@
         @param executor    executor of the waiting coroutine
     */
     auto acquire (std::string service,
-                QueuedRequest wanted,
-                std::uint32_t mostQueued,
-                asio::any_io_executor executor) -> Task<PermitOutcome>;
+                  QueuedRequest wanted,
+                  std::uint32_t mostQueued,
+                  asio::any_io_executor executor) -> Task<PermitOutcome>;
 
     /** Releases a permit.
 
--- a/modules/snowrudder_serving/relay/EventAssembler.cpp
+++ b/modules/snowrudder_serving/relay/EventAssembler.cpp
@@ -15,10 +15,10 @@
 {
     constexpr auto notFound = std::string_view::npos;
     const auto lineFeedEnd = bytes.rfind ("\n\n");
-    const auto carriageReturnEnd = bytes.rfind ("\n\r\n");
-    const auto afterLineFeedEnd = lineFeedEnd == notFound ? std::size_t { 0 } : lineFeedEnd + 2;
-    const auto afterCarriageReturnEnd = carriageReturnEnd == notFound ? std::size_t { 0 } : carriageReturnEnd + 3;
-    return std::max (afterLineFeedEnd, afterCarriageReturnEnd);
+    const auto crlfEnd = bytes.rfind ("\n\r\n");
+    const auto afterLineFeed = lineFeedEnd == notFound ? std::size_t { 0 } : lineFeedEnd + 2;
+    const auto afterCrlf = crlfEnd == notFound ? std::size_t { 0 } : crlfEnd + 3;
+    return std::max (afterLineFeed, afterCrlf);
 }
 
 } // namespace
--- a/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
@@ -333,7 +333,7 @@
         co_return "not_asked";
 
     InterruptedAttempt ended { request.fingerprint, request.caller.id, request.accountName(),
-                           lastNumber,          lastReplica,       SteadyClock::now() };
+                               lastNumber,          lastReplica,       SteadyClock::now() };
     co_return co_await state.crashes.examine (state.probes, std::move (ended));
 }
 
