--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -130,8 +130,8 @@
         else if (const auto* usage = std::get_if<UsageNotice> (&*message))
             (usage->isOfRollouts ? state.rollouts.others() : state.usageOfOthers).note (*usage);
         else if (const auto* crashes = std::get_if<CrashNotice> (&*message))
-            state.crashes.receiveEvidence (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
-                                           SteadyClock::now());
+            state.crashes.receiveEvidence (crashes->evidence, crashes->node,
+                                           state.role() == ReportRole::reader, SteadyClock::now());
         else
             take (std::get<LoadNotice> (*message));
     }
--- a/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRequestRunner.cpp
@@ -246,7 +246,8 @@
         state.replicas.noteLeaving (ticket.number, now);
 
     if (answer.wasNotRun)
-        return makeOutcome (call, answer.isAddressReassigned ? FailureCause::misdirected : FailureCause::refused);
+        return makeOutcome (call,
+                            answer.isAddressReassigned ? FailureCause::misdirected : FailureCause::refused);
 
     // Requests that a replica starts and then fails count as usage too. When only relayed answers were counted, the
     // usage report lacked a twelfth of a window's requests while replicas failed 45% of theirs.
