--- a/modules/snowrudder_rollout/evidence/AnswerTally.cpp
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.cpp
@@ -12,7 +12,7 @@
 constexpr auto ofReplica = 'r';
 constexpr auto nameStart = std::size_t { 2 };
 
-auto letterOf (AnswerQuality quality) -> char
+auto codeOf (AnswerQuality quality) -> char
 {
     switch (quality)
     {
@@ -29,7 +29,7 @@
 
 auto countName (char whose, AnswerQuality quality, std::string_view what) -> std::string
 {
-    std::string name { whose, letterOf (quality) };
+    std::string name { whose, codeOf (quality) };
     name += what;
     return name;
 }
@@ -37,13 +37,13 @@
 auto add (AnswerTally& tally, char quality, std::uint64_t count) -> void
 {
     tally.answers += count;
-    tally.failed += quality == letterOf (AnswerQuality::failed) ? count : 0;
-    tally.slow += quality == letterOf (AnswerQuality::slow) ? count : 0;
+    tally.failed += quality == codeOf (AnswerQuality::failed) ? count : 0;
+    tally.slow += quality == codeOf (AnswerQuality::slow) ? count : 0;
 }
 
 } // namespace
 
-auto noteAnswer (NamedCounts& counts,
+auto recordAnswer (NamedCounts& counts,
                  bool isTarget,
                  std::string_view route,
                  std::string_view replica,
--- a/modules/snowrudder_rollout/evidence/AnswerTally.h
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.h
@@ -45,7 +45,7 @@
     @param isTarget  whether a replica of the target version gave it
     @param replica   short name of the replica
 */
-auto noteAnswer (NamedCounts& counts,
+auto recordAnswer (NamedCounts& counts,
                  bool isTarget,
                  std::string_view route,
                  std::string_view replica,
--- a/modules/snowrudder_rollout/evidence/SlowAnswers.cpp
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
@@ -1,4 +1,4 @@
-#include "SlowAnswers.h"
+#include "SlowAnswerDetector.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 constexpr auto slowFactor = 3.5;
 
 /** Answers of a route before its median counts. */
-constexpr auto leastCount = std::uint32_t { 20 };
+constexpr auto minAnswersForMedian = std::uint32_t { 20 };
 
 /** What an answer takes beside its prompt, in milliseconds: short answers don't differ by as little as their prompts do. */
 constexpr auto fixedMilliseconds = 20.0;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-auto SlowAnswers::note (std::string_view route,
+auto SlowAnswerDetector::record (std::string_view route,
                         Duration firstByte,
                         double expectedTokens,
                         double tokensEachMillisecond) -> void
@@ -41,13 +41,13 @@
     ++median.count;
 }
 
-auto SlowAnswers::isSlow (std::string_view route,
+auto SlowAnswerDetector::isSlow (std::string_view route,
                           Duration firstByte,
                           double expectedTokens,
                           double tokensEachMillisecond) const -> bool
 {
     const auto found = medians.find (route);
-    return found != medians.end() && found->second.count >= leastCount &&
+    return found != medians.end() && found->second.count >= minAnswersForMedian &&
            ratioOf (firstByte, expectedTokens, tokensEachMillisecond) > slowFactor * found->second.value;
 }
 
--- a/modules/snowrudder_rollout/evidence/SlowAnswers.h
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.h
@@ -13,11 +13,11 @@
 /** Tells answers that come several times later than a route's answers do at this node. First bytes are compared for the prompt
     that the replica was expected to read, so that replicas with empty caches are not taken for slow ones.
 */
-class SlowAnswers
+class SlowAnswerDetector
 {
 public:
     /** Notes an answer of the version in service. */
-    auto note (std::string_view route,
+    auto record (std::string_view route,
                Duration firstByte,
                double expectedTokens,
                double tokensEachMillisecond) -> void;
--- a/modules/snowrudder_rollout/evidence/VersionTrial.cpp
+++ b/modules/snowrudder_rollout/evidence/VersionVerdict.cpp
@@ -1,4 +1,4 @@
-#include "VersionTrial.h"
+#include "VersionVerdict.h"
 
 #include <algorithm>
 #include <array>
@@ -16,21 +16,21 @@
 constexpr auto slowFactors = std::array { 6.0, 20.0 };
 
 /** A version is given up beyond this, in natural logarithms: odds of one in 1,000. */
-constexpr auto boundForAll = 6.9;
+constexpr auto boundForAllRoutes = 6.9;
 /** The same for one route of many. */
 constexpr auto boundForRoute = 9.2;
 
-constexpr auto leastFailed = std::uint64_t { 3 };
+constexpr auto minFailed = std::uint64_t { 3 };
 
 /** What slows one answer slows all that run beside it, so that a few slow ones may be a single event. */
-constexpr auto leastSlow = std::uint64_t { 8 };
+constexpr auto minSlow = std::uint64_t { 8 };
 
 /** A replica that gives this part of its answers badly speaks against its version. */
 constexpr auto badAnswerShare = 0.03;
 
 /** Replicas that must speak against it: this part of those that answered, and no more than so many. */
 constexpr auto badReplicaShare = 0.6;
-constexpr auto mostBadReplicas = 8.0;
+constexpr auto maxBadReplicas = 8.0;
 
 /** @returns the logarithm of the mixture of bets. */
 template <std::size_t Size>
@@ -57,7 +57,7 @@
 
 /** @returns whether so many replicas gave bad answers that it is not a few replicas' fault. */
 template <typename BadOf>
-auto isSpread (const std::map<std::string, AnswerTally, std::less<>>& replicas, BadOf badOf) -> bool
+auto isWidespread (const std::map<std::string, AnswerTally, std::less<>>& replicas, BadOf badOf) -> bool
 {
     const auto isBad = [&] (const auto& known)
     {
@@ -66,7 +66,7 @@
     };
     const auto bad = std::ranges::count_if (replicas, isBad);
     const auto wanted =
-        std::ceil (std::min (mostBadReplicas, badReplicaShare * static_cast<double> (replicas.size())));
+        std::ceil (std::min (maxBadReplicas, badReplicaShare * static_cast<double> (replicas.size())));
     const auto least = replicas.size() > 1 ? 2.0 : 1.0;
     return static_cast<double> (bad) >= std::max (least, wanted);
 }
@@ -105,10 +105,10 @@
             std::uint64_t leastBad,
             BadOf badOf) -> void
 {
-    if (! isSpread (tallies.replicas, badOf))
+    if (! isWidespread (tallies.replicas, badOf))
         return;
 
-    const auto weigh =
+    const auto evaluate =
         [&] (const AnswerTally& target, const AnswerTally& others, double bound, const std::string& what)
     {
         if (badOf (target) < leastBad || others.answers == 0)
@@ -131,11 +131,11 @@
     sound.answers -= std::min (sound.answers, worst.answers);
     sound.failed -= std::min (sound.failed, worst.failed);
     sound.slow -= std::min (sound.slow, worst.slow);
-    weigh (sound, sumOf (tallies.others), boundForAll, "all routes");
+    evaluate (sound, sumOf (tallies.others), boundForAllRoutes, "all routes");
 
     for (const auto& [route, target] : tallies.target)
         if (const auto others = tallies.others.find (route); others != tallies.others.end())
-            weigh (target, others->second, boundForRoute, route);
+            evaluate (target, others->second, boundForRoute, route);
 }
 
 } // namespace
@@ -146,9 +146,9 @@
     const auto target = sumOf (tallies.target);
     verdict.answers = target.answers;
     verdict.bad = target.failed + target.slow;
-    judge (verdict, tallies, failureFactors, "failed", leastFailed,
+    judge (verdict, tallies, failureFactors, "failed", minFailed,
            [] (const AnswerTally& tally) { return tally.failed; });
-    judge (verdict, tallies, slowFactors, "slow", leastSlow,
+    judge (verdict, tallies, slowFactors, "slow", minSlow,
            [] (const AnswerTally& tally) { return tally.slow; });
     return verdict;
 }
--- a/modules/snowrudder_rollout/exposure/VersionRule.cpp
+++ b/modules/snowrudder_rollout/exposure/VersionRule.cpp
@@ -6,7 +6,7 @@
 namespace snowrudder
 {
 
-auto isDrawn (std::uint64_t draw, double share) -> bool
+auto isSampled (std::uint64_t draw, double share) -> bool
 {
     return static_cast<double> (draw) < share * std::exp2 (std::numeric_limits<std::uint64_t>::digits);
 }
@@ -22,7 +22,7 @@
         case RolloutStage::completed:
             return { VersionRule::Kind::only, rollout->targetVersion, false };
         case RolloutStage::proving:
-            if (isFirst && isDrawn (combineHashes (draw, rollout->number), givenOfShare * mostShare))
+            if (isFirst && isSampled (combineHashes (draw, rollout->number), sampledExposureShare * mostShare))
                 return { VersionRule::Kind::only, rollout->targetVersion, true };
             break;
         case RolloutStage::rolledBack:
--- a/modules/snowrudder_rollout/exposure/VersionRule.h
+++ b/modules/snowrudder_rollout/exposure/VersionRule.h
@@ -32,7 +32,7 @@
 /** Of the share of requests that an unproved version may get at most, the part that it is given. The rest is for requests that
     are counted late and for repeats of callers.
 */
-inline constexpr auto givenOfShare = 0.6;
+inline constexpr auto sampledExposureShare = 0.6;
 
 /** @returns whether a request is one of those that an unproved version runs.
 
@@ -42,7 +42,7 @@
     @param draw   evenly spread hash of the request
     @param share  of the requests, from 0 to 1
 */
-auto isDrawn (std::uint64_t draw, double share) -> bool;
+auto isSampled (std::uint64_t draw, double share) -> bool;
 
 /** @returns the rule for one attempt.
 
--- a/modules/snowrudder_rollout/order/Rollout.h
+++ b/modules/snowrudder_rollout/order/Rollout.h
@@ -50,7 +50,7 @@
     /** From the order until the new version is to be in service. */
     Duration period {};
     /** When a node first knew of the order. */
-    TimePoint ordered {};
+    TimePoint orderedAt {};
     RolloutStage stage = RolloutStage::proving;
 };
 
--- a/modules/snowrudder_rollout/order/RolloutSchedule.cpp
+++ b/modules/snowrudder_rollout/order/RolloutSchedule.cpp
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-auto stageOf (const Rollout& rollout,
+auto nextStage (const Rollout& rollout,
               const VersionVerdict& verdict,
               bool hasOthers,
               const RolloutTimes& times,
@@ -21,14 +21,14 @@
     if (! hasOthers)
         return verdict.answers > 0 ? RolloutStage::completed : rollout.stage;
 
-    if (verdict.answers < leastAnswers)
+    if (verdict.answers < minAnswers)
         return rollout.stage;
 
-    const auto scale = std::min (1.0, times.mostOfPeriod * std::chrono::duration<double> (rollout.period) /
+    const auto scale = std::min (1.0, times.maxPeriodShare * std::chrono::duration<double> (rollout.period) /
                                           std::chrono::duration<double> (times.move + times.margin));
     const auto scaled = [scale] (Duration time)
     { return std::chrono::duration_cast<Duration> (time * scale); };
-    const auto end = rollout.ordered + rollout.period - scaled (times.margin);
+    const auto end = rollout.orderedAt + rollout.period - scaled (times.margin);
 
     if (rollout.stage == RolloutStage::moving && now >= end)
         return RolloutStage::completed;
--- a/modules/snowrudder_rollout/order/RolloutSchedule.h
+++ b/modules/snowrudder_rollout/order/RolloutSchedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "../evidence/VersionTrial.h"
+#include "../evidence/VersionVerdict.h"
 #include "Rollout.h"
 
 namespace snowrudder
@@ -14,11 +14,11 @@
     /** Kept back of the period for a slow store, and for nodes that hear of it late. */
     Duration margin = 1s;
     /** Of the period, the part that moving and margin may take. */
-    double mostOfPeriod = 0.4;
+    double maxPeriodShare = 0.4;
 };
 
 /** Answers of the new version without which it is not taken for good. */
-inline constexpr auto leastAnswers = std::uint64_t { 30 };
+inline constexpr auto minAnswers = std::uint64_t { 30 };
 
 /** @returns the stage that a roll-out is to have now.
 
@@ -27,7 +27,7 @@
 
     @param hasOthers  whether there are replicas of other versions: else the version is in service already
 */
-auto stageOf (const Rollout& rollout,
+auto nextStage (const Rollout& rollout,
               const VersionVerdict& verdict,
               bool hasOthers,
               const RolloutTimes& times,
--- a/modules/snowrudder_rollout/order/RolloutTable.cpp
+++ b/modules/snowrudder_rollout/order/RolloutTable.cpp
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-auto RolloutTable::take (const Rollout& heard) -> bool
+auto RolloutTable::merge (const Rollout& heard) -> bool
 {
     const auto [place, isNew] = rollouts.try_emplace (heard.service, heard);
     auto& known = place->second;
@@ -22,7 +22,7 @@
         return true;
     }
 
-    known.ordered = std::min (known.ordered, heard.ordered);
+    known.orderedAt = std::min (known.orderedAt, heard.orderedAt);
 
     if (heard.stage <= known.stage)
         return false;
@@ -59,7 +59,7 @@
     return known;
 }
 
-auto RolloutTable::isMoving (std::string_view service) const -> bool
+auto RolloutTable::hasOpenRollout (std::string_view service) const -> bool
 {
     const auto* const rollout = find (service);
     return rollout != nullptr && isOpen (*rollout);
--- a/modules/snowrudder_rollout/order/RolloutTable.h
+++ b/modules/snowrudder_rollout/order/RolloutTable.h
@@ -16,7 +16,7 @@
 
         @returns whether it changed anything
     */
-    auto take (const Rollout& heard) -> bool;
+    auto merge (const Rollout& heard) -> bool;
 
     /** Forgets an order that the operators withdrew before it was decided on.
 
@@ -31,10 +31,10 @@
     [[nodiscard]] auto all() const -> std::vector<Rollout>;
 
     /** @returns whether a service is being moved to another version. */
-    [[nodiscard]] auto isMoving (std::string_view service) const -> bool;
+    [[nodiscard]] auto hasOpenRollout (std::string_view service) const -> bool;
 
     /** Whether the operators' orders were read, by this node or by one that told it. */
-    bool isKnown = false;
+    bool isLoaded = false;
 
 private:
     std::map<std::string, Rollout, std::less<>> rollouts;
--- a/modules/snowrudder_rollout/snowrudder_rollout.h
+++ b/modules/snowrudder_rollout/snowrudder_rollout.h
@@ -10,8 +10,8 @@
 #pragma once
 
 #include "evidence/AnswerTally.h"
-#include "evidence/SlowAnswers.h"
-#include "evidence/VersionTrial.h"
+#include "evidence/SlowAnswerDetector.h"
+#include "evidence/VersionVerdict.h"
 #include "exposure/VersionRule.h"
 #include "order/Rollout.h"
 #include "order/RolloutSchedule.h"
--- a/modules/snowrudder_serving/capacity/CapacityPlan.cpp
+++ b/modules/snowrudder_serving/capacity/CapacityPlan.cpp
@@ -11,7 +11,7 @@
 {
 
 /** One in so many of a domain's replicas is never filled up with on-demand ones. */
-constexpr auto roomForReclaimable = 5U;
+constexpr auto reclaimableRoomDivisor = 5U;
 
 using Plan = std::map<std::string, DomainCapacity>;
 
@@ -28,14 +28,14 @@
 }
 
 /** @returns how many reclaimable replicas leave `needed` when one of the domains loses its own. */
-auto spreadTotal (double needed, std::size_t domains) -> std::uint32_t
+auto replicasWithSpareDomain (double needed, std::size_t domains) -> std::uint32_t
 {
     const auto others = static_cast<double> (std::max<std::size_t> (domains, 2) - 1);
     return static_cast<std::uint32_t> (std::ceil (needed * (others + 1.0) / others));
 }
 
 /** Gives replicas out one by one, to the domain with the fewest, the cheapest first among equals. */
-auto spread (Plan& plan,
+auto spreadReclaimable (Plan& plan,
              const std::vector<std::string>& domains,
              std::uint32_t count,
              const ScalingBounds& bounds) -> void
@@ -73,7 +73,7 @@
 }
 
 /** Keeps or adds on-demand replicas for what is needed and not served by reclaimable ones. */
-auto fillGap (Plan& plan, const CapacityInput& input, const std::vector<std::string>& domains) -> void
+auto addOnDemand (Plan& plan, const CapacityInput& input, const std::vector<std::string>& domains) -> void
 {
     const auto wanted = static_cast<std::uint32_t> (
         std::ceil (std::max (input.needed * input.onDemandShare, input.neededForSlots)));
@@ -91,7 +91,7 @@
     }
 
     // Some room is left for reclaimable ones, or they could not come back.
-    const auto mostOnDemand = input.bounds.most - input.bounds.most / roomForReclaimable;
+    const auto mostOnDemand = input.bounds.most - input.bounds.most / reclaimableRoomDivisor;
 
     for (const auto& domain : domains)
     {
@@ -123,14 +123,14 @@
         return plan;
     }
 
-    const auto total = std::max<std::uint32_t> (spreadTotal (input.needed, domains.size()),
+    const auto total = std::max<std::uint32_t> (replicasWithSpareDomain (input.needed, domains.size()),
                                                 static_cast<std::uint32_t> (domains.size()));
-    spread (plan, domains, total, input.bounds);
+    spreadReclaimable (plan, domains, total, input.bounds);
 
-    for (const auto& domain : input.dry)
+    for (const auto& domain : input.withoutReclaimable)
         plan[domain].reclaimable = std::min (plan[domain].reclaimable, servingIn (input, domain).reclaimable);
 
-    fillGap (plan, input, domains);
+    addOnDemand (plan, input, domains);
     return plan;
 }
 
--- a/modules/snowrudder_serving/capacity/CapacityPlan.h
+++ b/modules/snowrudder_serving/capacity/CapacityPlan.h
@@ -33,7 +33,7 @@
     /** Replicas that have slots for what runs; for these, too, on-demand ones are paid. */
     double neededForSlots = 0.0;
     /** Failure domains where no more reclaimable replicas are to be had now. */
-    std::set<std::string> dry;
+    std::set<std::string> withoutReclaimable;
     /** On-demand replicas that are ordered there; some may still boot. */
     std::map<std::string, std::uint32_t> orderedOnDemand;
     /** Failure domains, those with the most reclaimable replicas, that may lose them before on-demand ones could boot. */
--- a/modules/snowrudder_serving/capacity/WorkMeter.h
+++ b/modules/snowrudder_serving/capacity/WorkMeter.h
@@ -13,17 +13,17 @@
 class WorkMeter
 {
 public:
-    auto note (const std::string& service, double tokens, TimePoint now) -> void
+    auto record (const std::string& service, double tokens, TimePoint now) -> void
     {
         auto& entry = entries[service];
-        entry.tokens = fading (entry, now) + tokens;
+        entry.tokens = decayed (entry, now) + tokens;
         entry.at = now;
     }
 
-    [[nodiscard]] auto of (const std::string& service, TimePoint now) const -> double
+    [[nodiscard]] auto tokensPerSecond (const std::string& service, TimePoint now) const -> double
     {
         const auto found = entries.find (service);
-        return found == entries.end() ? 0.0 : fading (found->second, now) / Seconds (meanTime).count();
+        return found == entries.end() ? 0.0 : decayed (found->second, now) / Seconds (averagingTime).count();
     }
 
     /** Calls visit (service, tokensPerSecond) for each service. */
@@ -31,7 +31,7 @@
     auto forEach (TimePoint now, Visitor&& visit) const -> void
     {
         for (const auto& [service, entry] : entries)
-            visit (service, fading (entry, now) / Seconds (meanTime).count());
+            visit (service, decayed (entry, now) / Seconds (averagingTime).count());
     }
 
 private:
@@ -43,11 +43,11 @@
         TimePoint at {};
     };
 
-    static constexpr auto meanTime = Duration (4s);
+    static constexpr auto averagingTime = Duration (4s);
 
-    static auto fading (const Entry& entry, TimePoint now) -> double
+    static auto decayed (const Entry& entry, TimePoint now) -> double
     {
-        return entry.tokens * std::exp (-Seconds (now - entry.at) / Seconds (meanTime));
+        return entry.tokens * std::exp (-Seconds (now - entry.at) / Seconds (averagingTime));
     }
 
     std::map<std::string, Entry, std::less<>> entries;
--- a/modules/snowrudder_serving/duties/DutyLoops.h
+++ b/modules/snowrudder_serving/duties/DutyLoops.h
@@ -19,7 +19,7 @@
 auto keepLeadership (ServingState& state, const StateStore& store) -> Task<void>;
 
 /** Gives the duties up at a planned stop, so that a successor need not wait for the lease to run out. */
-auto giveUpLeadership (ServingState& state, const StateStore& store) -> Task<void>;
+auto releaseLeadership (ServingState& state, const StateStore& store) -> Task<void>;
 
 /** Reports each window's usage while this node has the duties, for ever. A window's counts are written to the store before
     they are reported: a successor that finds them repeats them exactly.
--- a/modules/snowrudder_serving/duties/Leadership.cpp
+++ b/modules/snowrudder_serving/duties/Leadership.cpp
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-auto noteRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
+auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
     -> void
 {
     if (outcome == StoreOutcome::done)
@@ -15,10 +15,10 @@
     }
 
     if (outcome == StoreOutcome::refused)
-        noteLost (own, "lease_ended", asked);
+        recordLoss (own, "lease_ended", asked);
 }
 
-auto noteHeld (Leadership& own, std::uint64_t revision) -> void
+auto recordAcquisition (Leadership& own, std::uint64_t revision) -> void
 {
     if (own.fence == revision)
         return;
@@ -27,11 +27,11 @@
     LogLine ("duties_taken").with ("fence", revision).with ("lease", own.lease).info();
 }
 
-auto noteLost (Leadership& own, std::string_view reason, TimePoint now) -> void
+auto recordLoss (Leadership& own, std::string_view reason, TimePoint now) -> void
 {
     if (own.fence != 0)
     {
-        own.heldUntil = now;
+        own.lastHeld = now;
         LogLine ("duties_lost").with ("fence", own.fence).with ("reason", reason).warning();
     }
 
--- a/modules/snowrudder_serving/duties/Leadership.h
+++ b/modules/snowrudder_serving/duties/Leadership.h
@@ -24,9 +24,9 @@
     /** The revision at which this node took the duties; rises from holder to holder. 0 while it has none. */
     std::uint64_t fence = 0;
     /** When it last held them. */
-    std::optional<TimePoint> heldUntil;
+    std::optional<TimePoint> lastHeld;
     /** When another node was last known to hold them. */
-    std::optional<TimePoint> otherSeen;
+    std::optional<TimePoint> otherHolderSeen;
 };
 
 /** Bounds of holding. */
@@ -44,7 +44,7 @@
 };
 
 /** @returns whether a call of a duty that is sent now will have arrived before the lease can run out. */
-inline auto mayAct (const Leadership& own, const LeadershipTimes& times, TimePoint now) -> bool
+inline auto mayCallDuty (const Leadership& own, const LeadershipTimes& times, TimePoint now) -> bool
 {
     return own.fence != 0 && now + times.call + times.margin < own.leaseEnd;
 }
@@ -52,23 +52,23 @@
 /** @returns whether a node may try to take the duties. */
 inline auto mayCompete (const Leadership& own, const LeadershipTimes& times, TimePoint now) -> bool
 {
-    return ! own.heldUntil || now - *own.heldUntil >= times.pause;
+    return ! own.lastHeld || now - *own.lastHeld >= times.pause;
 }
 
 /** Notes an answer to a renewal.
 
     @param asked  when it was sent
 */
-auto noteRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
+auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
     -> void;
 
 /** Notes that the duties are this node's.
 
     @param revision  of the item that says so
 */
-auto noteHeld (Leadership& own, std::uint64_t revision) -> void;
+auto recordAcquisition (Leadership& own, std::uint64_t revision) -> void;
 
 /** Notes that the duties are no longer this node's. */
-auto noteLost (Leadership& own, std::string_view reason, TimePoint now) -> void;
+auto recordLoss (Leadership& own, std::string_view reason, TimePoint now) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/LeadershipLoop.cpp
+++ b/modules/snowrudder_serving/duties/LeadershipLoop.cpp
@@ -14,25 +14,25 @@
 /** A node that does not read the store itself, or does not know yet, leaves the duties to those that do: the other nodes'
     work and usage come to readers. It looks this often whether it still does not.
 */
-constexpr auto idlePause = 1s;
+constexpr auto nonReaderPause = 1s;
 
 /** Renews the lease, and waits until it is to be renewed again. */
-auto renewAndRest (ServingState& state, const StateStore& store) -> Task<void>
+auto renewAndWait (ServingState& state, const StateStore& store) -> Task<void>
 {
     const auto asked = SteadyClock::now();
     const auto outcome = co_await store.renewLease (state.leadership.lease);
-    noteRenewal (state.leadership, outcome, state.leadershipTimes, asked);
+    recordRenewal (state.leadership, outcome, state.leadershipTimes, asked);
 
     const auto now = SteadyClock::now();
 
     if (state.leadership.fence != 0 && now >= state.leadership.leaseEnd)
-        noteLost (state.leadership, "lease_may_have_ended", now);
+        recordLoss (state.leadership, "lease_may_have_ended", now);
 
     co_await pauseFor (state.loop, state.leadershipTimes.renewal);
 }
 
 /** Tries to take the duties where nobody has them. */
-auto compete (ServingState& state, const StateStore& store) -> Task<void>
+auto tryToAcquire (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
     const auto asked = SteadyClock::now();
@@ -52,11 +52,11 @@
     const auto taken = co_await store.commit (std::move (take));
 
     if (taken.outcome == StoreOutcome::done && SteadyClock::now() < own.leaseEnd)
-        noteHeld (own, taken.revision);
+        recordAcquisition (own, taken.revision);
 }
 
 /** Looks who has the duties; competes, or waits for a change. */
-auto lookForVacancy (ServingState& state, const StateStore& store) -> Task<void>
+auto waitForVacancy (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
     const auto read = co_await store.read (std::string (leaderKey), ReadAge::newest);
@@ -73,13 +73,13 @@
     if (holder != nullptr && holder->value == own.token && holder->lease == own.lease && own.lease != 0 &&
         SteadyClock::now() < own.leaseEnd)
     {
-        noteHeld (own, holder->revision);
+        recordAcquisition (own, holder->revision);
         co_return;
     }
 
     if (holder != nullptr)
     {
-        own.otherSeen = SteadyClock::now();
+        own.otherHolderSeen = SteadyClock::now();
         const auto changed = co_await store.watch (std::string (leaderKey), read.revision, watchTime);
 
         if (changed.outcome != StoreOutcome::done)
@@ -89,7 +89,7 @@
     }
 
     if (mayCompete (own, state.leadershipTimes, SteadyClock::now()) && ! state.leaving)
-        co_await compete (state, store);
+        co_await tryToAcquire (state, store);
     else
         co_await pauseFor (state.loop, failurePause);
 }
@@ -99,7 +99,7 @@
 {
     const auto lease = state.leadership.lease;
     const auto wasHeld = state.leadership.fence != 0;
-    noteLost (state.leadership, reason, SteadyClock::now());
+    recordLoss (state.leadership, reason, SteadyClock::now());
 
     if (! wasHeld)
         co_return;
@@ -118,17 +118,17 @@
         const auto isReader = state.sharing.members && state.news.isReader;
 
         if (state.leadership.fence != 0 && isReader)
-            co_await renewAndRest (state, store);
+            co_await renewAndWait (state, store);
         else if (state.leadership.fence != 0)
             co_await endLeadership (state, store, "no_reader_any_more");
         else if (! isReader)
-            co_await pauseFor (state.loop, idlePause);
+            co_await pauseFor (state.loop, nonReaderPause);
         else
-            co_await lookForVacancy (state, store);
+            co_await waitForVacancy (state, store);
     }
 }
 
-auto giveUpLeadership (ServingState& state, const StateStore& store) -> Task<void>
+auto releaseLeadership (ServingState& state, const StateStore& store) -> Task<void>
 {
     return endLeadership (state, store, "stopping");
 }
--- a/modules/snowrudder_serving/duties/UsageGathering.cpp
+++ b/modules/snowrudder_serving/duties/UsageCollector.cpp
@@ -1,4 +1,4 @@
-#include "UsageGathering.h"
+#include "UsageCollector.h"
 
 #include <algorithm>
 
@@ -27,7 +27,7 @@
         sum[account] += count;
 }
 
-auto raiseCounts (AccountCounts& counts, const AccountCounts& others) -> void
+auto mergeGreaterCounts (AccountCounts& counts, const AccountCounts& others) -> void
 {
     for (const auto& [account, count] : others)
     {
@@ -36,12 +36,12 @@
     }
 }
 
-auto UsageGathering::note (const UsageNotice& notice) -> void
+auto UsageCollector::record (const UsageNotice& notice) -> void
 {
     if (! notice.domain.empty())
     {
         for (const auto& [window, counts] : notice.counts)
-            raiseCounts (domains[notice.domain][window], counts);
+            mergeGreaterCounts (domains[notice.domain][window], counts);
 
         return;
     }
@@ -54,36 +54,36 @@
     if (notice.incarnation > node.incarnation)
     {
         for (const auto& [window, counts] : node.counts)
-            addCounts (node.earlier[window], counts);
+            addCounts (node.countsOfEarlierStarts[window], counts);
 
         node.counts.clear();
         node.incarnation = notice.incarnation;
     }
 
     for (const auto& [window, counts] : notice.counts)
-        raiseCounts (node.counts[window], counts);
+        mergeGreaterCounts (node.counts[window], counts);
 }
 
-auto UsageGathering::ofDomain (std::uint64_t window, const AccountCounts& own) const -> AccountCounts
+auto UsageCollector::countsOfDomain (std::uint64_t window, const AccountCounts& own) const -> AccountCounts
 {
     auto sum = own;
 
     for (const auto& [name, node] : nodes)
     {
         addWindow (sum, node.counts, window);
-        addWindow (sum, node.earlier, window);
+        addWindow (sum, node.countsOfEarlierStarts, window);
     }
 
     if (const auto told = domains.find (ownDomain); told != domains.end())
         if (const auto counts = told->second.find (window); counts != told->second.end())
-            raiseCounts (sum, counts->second);
+            mergeGreaterCounts (sum, counts->second);
 
     return sum;
 }
 
-auto UsageGathering::ofAll (std::uint64_t window, const AccountCounts& own) const -> AccountCounts
+auto UsageCollector::countsOfAllNodes (std::uint64_t window, const AccountCounts& own) const -> AccountCounts
 {
-    auto sum = ofDomain (window, own);
+    auto sum = countsOfDomain (window, own);
 
     for (const auto& [domain, counts] : domains)
         if (domain != ownDomain)
@@ -92,7 +92,7 @@
     return sum;
 }
 
-auto UsageGathering::recentOfDomain (const UsageWindows& own, Duration time) const -> CountsByWindow
+auto UsageCollector::recentDomainCounts (const UsageWindows& own, Duration time) const -> CountsByWindow
 {
     CountsByWindow recent;
 
@@ -108,16 +108,16 @@
     for (const auto& [name, node] : nodes)
     {
         addRecent (node.counts);
-        addRecent (node.earlier);
+        addRecent (node.countsOfEarlierStarts);
     }
 
     for (auto& [window, counts] : recent)
-        counts = ofDomain (window, own.countsOf (window));
+        counts = countsOfDomain (window, own.countsOf (window));
 
     return recent;
 }
 
-auto UsageGathering::oldestWindow() const -> std::optional<std::uint64_t>
+auto UsageCollector::oldestWindow() const -> std::optional<std::uint64_t>
 {
     std::optional<std::uint64_t> oldest;
 
@@ -130,7 +130,7 @@
     for (const auto& [name, node] : nodes)
     {
         look (node.counts);
-        look (node.earlier);
+        look (node.countsOfEarlierStarts);
     }
 
     for (const auto& [domain, counts] : domains)
@@ -139,12 +139,12 @@
     return oldest;
 }
 
-auto UsageGathering::dropBefore (std::uint64_t window) -> void
+auto UsageCollector::dropBefore (std::uint64_t window) -> void
 {
     for (auto& [name, node] : nodes)
     {
         dropWindows (node.counts, window);
-        dropWindows (node.earlier, window);
+        dropWindows (node.countsOfEarlierStarts, window);
     }
 
     for (auto& [domain, counts] : domains)
--- a/modules/snowrudder_serving/duties/UsageGathering.h
+++ b/modules/snowrudder_serving/duties/UsageCollector.h
@@ -13,29 +13,29 @@
     have missed a node's last notice. So the counts of a window come to whoever reports it over two hops, however many
     nodes there are.
 */
-class UsageGathering
+class UsageCollector
 {
 public:
-    explicit UsageGathering (std::string ownFailureDomain) : ownDomain (std::move (ownFailureDomain)) {}
+    explicit UsageCollector (std::string ownFailureDomain) : ownDomain (std::move (ownFailureDomain)) {}
 
     /** Takes a notice in, in any order and any number of times. */
-    auto note (const UsageNotice& notice) -> void;
+    auto record (const UsageNotice& notice) -> void;
 
     /** @returns the counts of all nodes of this failure domain, as this node and its other readers know them.
 
         @param own  this node's counts
     */
-    [[nodiscard]] auto ofDomain (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
+    [[nodiscard]] auto countsOfDomain (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
 
     /** @returns the counts of all nodes. */
-    [[nodiscard]] auto ofAll (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
+    [[nodiscard]] auto countsOfAllNodes (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
 
     /** @returns the counts of this failure domain in the windows that end after a time.
 
         @param own   this node's counts
         @param time  since the start of 1970
     */
-    [[nodiscard]] auto recentOfDomain (const UsageWindows& own, Duration time) const -> CountsByWindow;
+    [[nodiscard]] auto recentDomainCounts (const UsageWindows& own, Duration time) const -> CountsByWindow;
 
     /** @returns the oldest window in which another node is known to have run. */
     [[nodiscard]] auto oldestWindow() const -> std::optional<std::uint64_t>;
@@ -49,7 +49,7 @@
         std::uint64_t incarnation = 0;
         CountsByWindow counts;
         /** Of its earlier starts: a restart forgets them. */
-        CountsByWindow earlier;
+        CountsByWindow countsOfEarlierStarts;
     };
 
     std::string ownDomain;
@@ -61,6 +61,6 @@
 auto addCounts (AccountCounts& sum, const AccountCounts& more) -> void;
 
 /** Raises counts to others where those are greater. */
-auto raiseCounts (AccountCounts& counts, const AccountCounts& others) -> void;
+auto mergeGreaterCounts (AccountCounts& counts, const AccountCounts& others) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/UsageReportLoop.cpp
+++ b/modules/snowrudder_serving/duties/UsageReportLoop.cpp
@@ -18,7 +18,7 @@
 constexpr auto tick = 500ms;
 
 /** Counts and records are kept for longer than anybody looks back. */
-constexpr auto keepTime = 2 * usageLookBack;
+constexpr auto retentionTime = 2 * usageReportHorizon;
 
 auto usageKey (std::uint64_t window) -> std::string
 {
@@ -50,12 +50,12 @@
 
     @returns nothing when the store did not answer
 */
-auto settleCounts (ServingState& state, const StateStore& store, std::uint64_t window)
+auto persistCounts (ServingState& state, const StateStore& store, std::uint64_t window)
     -> Task<std::optional<AccountCounts>>
 {
-    const auto counts = state.usageOfOthers.ofAll (window, state.usage.countsOf (window));
+    const auto counts = state.usageOfOthers.countsOfAllNodes (window, state.usage.countsOf (window));
     auto record = makeCreation (usageKey (window), writeCounts (counts));
-    const auto keptWindows = static_cast<std::uint64_t> (keepTime / state.settings.usageWindow);
+    const auto keptWindows = static_cast<std::uint64_t> (retentionTime / state.settings.usageWindow);
 
     if (window > keptWindows)
         record.removals.push_back (usageKey (window - keptWindows));
@@ -75,9 +75,9 @@
 auto reportWindow (ServingState& state, const StateStore& store, const DutyCalls& calls, std::uint64_t window)
     -> Task<StoreOutcome>
 {
-    const auto counts = co_await settleCounts (state, store, window);
+    const auto counts = co_await persistCounts (state, store, window);
 
-    if (! counts || ! mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()))
+    if (! counts || ! mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()))
         co_return StoreOutcome::unknown;
 
     const DutyHolder holder { state.settings.node, state.leadership.fence };
@@ -95,7 +95,7 @@
 
     @returns whether the store answered
 */
-auto readSettled (UsageSchedule& schedule, const StateStore& store) -> Task<bool>
+auto readLastPersistedWindow (UsageSchedule& schedule, const StateStore& store) -> Task<bool>
 {
     const auto listed = co_await store.list (std::string (usagePrefix), ReadAge::newest);
 
@@ -108,7 +108,7 @@
         const auto* const end = item.key.data() + item.key.size();
 
         if (std::from_chars (item.key.data() + usagePrefix.size(), end, window).ptr == end)
-            schedule.settledBefore = std::max (schedule.settledBefore.value_or (window), window);
+            schedule.lastPersistedWindow = std::max (schedule.lastPersistedWindow.value_or (window), window);
     }
 
     co_return true;
@@ -121,26 +121,26 @@
     UsageSchedule schedule;
     auto fence = std::uint64_t { 0 };
     schedule.started = state.trueTime.now (SteadyClock::now());
-    state.usage.noteRunning (schedule.started);
+    state.usage.recordRunning (schedule.started);
 
     for (;;)
     {
         co_await pauseFor (state.loop, tick);
 
         const auto now = state.trueTime.now (SteadyClock::now());
-        state.usage.noteRunning (now);
-        const auto oldestKept = state.usage.windowOf (now - keepTime);
+        state.usage.recordRunning (now);
+        const auto oldestKept = state.usage.windowOf (now - retentionTime);
         state.usage.dropBefore (oldestKept);
         state.usageOfOthers.dropBefore (oldestKept);
         schedule.reported.erase (schedule.reported.begin(), schedule.reported.lower_bound (oldestKept));
 
-        if (mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()) &&
-            state.leadership.fence != fence && co_await readSettled (schedule, store))
+        if (mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()) &&
+            state.leadership.fence != fence && co_await readLastPersistedWindow (schedule, store))
             fence = state.leadership.fence;
 
         for (const auto window : windowsDue (schedule, state.usage, state.usageOfOthers, now))
         {
-            if (! mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()))
+            if (! mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()))
                 break;
 
             const auto outcome = co_await reportWindow (state, store, calls, window);
--- a/modules/snowrudder_serving/duties/UsageSchedule.cpp
+++ b/modules/snowrudder_serving/duties/UsageSchedule.cpp
@@ -12,28 +12,28 @@
     them to each other within 500 ms each, once more where a datagram was lost; the rest is for the ways, and for clocks that
     differ. It does not depend on the number of nodes.
 */
-constexpr auto settleTime = 3 * Duration (usageInterval) + Duration (500ms);
+constexpr auto collectionTime = 3 * Duration (usageInterval) + Duration (500ms);
 
 } // namespace
 
 auto windowsDue (const UsageSchedule& schedule,
                  const UsageWindows& own,
-                 const UsageGathering& others,
+                 const UsageCollector& others,
                  Duration now) -> std::vector<std::uint64_t>
 {
     std::vector<std::uint64_t> due;
     const auto oldest = others.oldestWindow();
 
-    for (auto window = own.windowOf (now - usageLookBack); window < own.windowOf (now); ++window)
+    for (auto window = own.windowOf (now - usageReportHorizon); window < own.windowOf (now); ++window)
     {
-        const auto known = std::max (own.endOf (window), schedule.started) + settleTime;
+        const auto known = std::max (own.endOf (window), schedule.started) + collectionTime;
 
         if (now < known || schedule.reported.contains (window))
             continue;
 
         // Before the first start of all nodes nothing was counted, and what nobody is left to know can't be reported.
         const auto isBeforeStart = own.endOf (window) <= schedule.started;
-        const auto first = schedule.settledBefore ? schedule.settledBefore : oldest;
+        const auto first = schedule.lastPersistedWindow ? schedule.lastPersistedWindow : oldest;
 
         if (isBeforeStart && (! first || window < *first))
             continue;
--- a/modules/snowrudder_serving/duties/UsageSchedule.h
+++ b/modules/snowrudder_serving/duties/UsageSchedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "UsageGathering.h"
+#include "UsageCollector.h"
 #include "UsageWindows.h"
 
 #include <set>
@@ -12,7 +12,7 @@
 /** How far back a holder of the duties looks for windows that were left unreported: twice the time after which a report is
     late.
 */
-inline constexpr auto usageLookBack = Duration (20s);
+inline constexpr auto usageReportHorizon = Duration (20s);
 
 /** What a node knows of the windows that it reports when it holds the duties. Times are since the start of 1970. */
 struct UsageSchedule
@@ -21,7 +21,7 @@
     Duration started {};
     std::set<std::uint64_t> reported;
     /** The latest window whose counts an earlier holder settled. It may have reported that one or not, and none after it. */
-    std::optional<std::uint64_t> settledBefore;
+    std::optional<std::uint64_t> lastPersistedWindow;
 };
 
 /** @returns the windows that a holder of the duties reports now, the oldest first.
@@ -35,7 +35,7 @@
 */
 auto windowsDue (const UsageSchedule& schedule,
                  const UsageWindows& own,
-                 const UsageGathering& others,
+                 const UsageCollector& others,
                  Duration now) -> std::vector<std::uint64_t>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/UsageWindows.h
+++ b/modules/snowrudder_serving/duties/UsageWindows.h
@@ -25,10 +25,10 @@
 
         @param time  since the start of 1970, in true time as well as this node knows it
     */
-    auto note (const std::string& account, Duration time) -> void { ++windows[windowOf (time)][account]; }
+    auto record (const std::string& account, Duration time) -> void { ++windows[windowOf (time)][account]; }
 
     /** Notes that this node runs: it tells of a window also where nothing began to run in it. */
-    auto noteRunning (Duration time) -> void { windows.try_emplace (windowOf (time)); }
+    auto recordRunning (Duration time) -> void { windows.try_emplace (windowOf (time)); }
 
     /** @returns the number of the window in which a time falls. */
     [[nodiscard]] auto windowOf (Duration time) const -> std::uint64_t
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -70,11 +70,11 @@
 auto checkQuota (ServingState& state,
                  const CallerRequest& caller,
                  const RoutedAccount& account,
-                 bool isAskedAgain,
+                 bool isAdmissionRetry,
                  TimePoint now) -> std::optional<Problem>
 {
     auto bounds = quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, drawJitter(), now);
-    bounds.isAskedAgain = isAskedAgain;
+    bounds.isAdmissionRetry = isAdmissionRetry;
     const auto admission = state.quota.admit (account, tokensOf (caller, account), bounds, now);
 
     if (admission.admitted)
@@ -159,7 +159,7 @@
 /** Lets a request that was refused for its account's limit wait until this node knows what the others admit. */
 auto waitForLimits (const ServingState& state, const CallerRequest& caller, TimePoint arrived) -> Task<void>
 {
-    const auto end = startWaitEnd (caller, arrived, SteadyClock::now() + limitsPatience);
+    const auto end = startWaitEnd (caller, arrived, SteadyClock::now() + maxSettlingWait);
     return waitUntilKnown (state, caller, end, "limits", [&state] { return knowsLimits (state); });
 }
 
@@ -171,7 +171,7 @@
 
 } // namespace
 
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAskedAgain, TimePoint now)
+auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAdmissionRetry, TimePoint now)
     -> std::variant<RoutedRequest, Problem>
 {
     RoutedRequest request;
@@ -203,7 +203,7 @@
         return std::move (*refusal);
 
     if (request.account)
-        if (auto refusal = checkQuota (state, caller, *request.account, isAskedAgain, now))
+        if (auto refusal = checkQuota (state, caller, *request.account, isAdmissionRetry, now))
             return std::move (*refusal);
 
     const auto patience = caller.patience.value_or (request.route->timeout);
@@ -234,15 +234,15 @@
     co_await waitForStart (state, caller, arrived);
 
     auto now = SteadyClock::now();
-    auto isAskedAgain = false;
-    auto admitted = admit (state, caller, arrived, isAskedAgain, now);
+    auto isAdmissionRetry = false;
+    auto admitted = admit (state, caller, arrived, isAdmissionRetry, now);
 
     if (isOverLimit (admitted) && ! knowsLimits (state))
     {
         co_await waitForLimits (state, caller, arrived);
         now = SteadyClock::now();
-        isAskedAgain = true;
-        admitted = admit (state, caller, arrived, isAskedAgain, now);
+        isAdmissionRetry = true;
+        admitted = admit (state, caller, arrived, isAdmissionRetry, now);
     }
 
     if (const auto* refusal = std::get_if<Problem> (&admitted))
--- a/modules/snowrudder_serving/gateway/RoutedGateway.h
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.h
@@ -17,9 +17,9 @@
 
     @param caller        moved from where it is admitted
     @param arrived       what its target, its patience and its route's time count from
-    @param isAskedAgain  whether it was refused before and has waited
+    @param isAdmissionRetry  whether it was refused before and has waited
 */
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAskedAgain, TimePoint now)
+auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAdmissionRetry, TimePoint now)
     -> std::variant<RoutedRequest, Problem>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/limits/QuotaSharing.cpp
+++ b/modules/snowrudder_serving/limits/QuotaSharing.cpp
@@ -9,30 +9,30 @@
 {
 
 /** Until the store has listed the members, a node may be any of a large fleet that all start now. */
-constexpr auto membersUnlisted = std::size_t { 100 };
+constexpr auto assumedMemberCount = std::size_t { 100 };
 
 /** Nodes that start together have listed each other after two lists, 2 s apart at most, and a stale one. */
-constexpr auto newNodeTime = Duration (3s);
+constexpr auto startUpTime = Duration (3s);
 
 /** Of the other nodes, the part that a node must hear to know well enough what they admit: some may be gone for longer. */
-constexpr auto nearlyAll = 0.9;
+constexpr auto settledPeerShare = 0.9;
 
 auto countMembers (const QuotaSharing& sharing) -> std::size_t
 {
-    return std::max<std::size_t> (sharing.members.value_or (membersUnlisted), 1);
+    return std::max<std::size_t> (sharing.members.value_or (assumedMemberCount), 1);
 }
 
-auto hearsNearlyAll (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
+auto receivesFromNearlyAll (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
 {
     const auto others = static_cast<double> (countMembers (sharing) - 1);
-    return sharing.members && static_cast<double> (peers.countHeard (now)) >= nearlyAll * others;
+    return sharing.members && static_cast<double> (peers.countHeard (now)) >= settledPeerShare * others;
 }
 
 } // namespace
 
-auto isNewNode (const QuotaSharing& sharing, TimePoint now) -> bool
+auto isRecentlyStarted (const QuotaSharing& sharing, TimePoint now) -> bool
 {
-    return now - sharing.startTime < newNodeTime;
+    return now - sharing.startTime < startUpTime;
 }
 
 auto quotaShare (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> double
@@ -41,11 +41,11 @@
     return 2 * peers.countHeard (now) >= members - 1 ? 1.0 : 1.0 / static_cast<double> (members);
 }
 
-auto unsettledTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration
+auto remainingSettlingTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration
 {
     const auto left = sharing.startTime + reportDelay (countMembers (sharing)) - now;
 
-    if (left <= Duration::zero() || sharing.isAdopted || hearsNearlyAll (sharing, peers, now))
+    if (left <= Duration::zero() || sharing.hasAdoptedLevels || receivesFromNearlyAll (sharing, peers, now))
         return Duration::zero();
 
     return left;
@@ -53,7 +53,7 @@
 
 auto isSettled (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
 {
-    return unsettledTime (sharing, peers, now) == Duration::zero();
+    return remainingSettlingTime (sharing, peers, now) == Duration::zero();
 }
 
 auto quotaBounds (const QuotaSharing& sharing,
@@ -67,15 +67,15 @@
     QuotaBounds bounds;
     bounds.tolerance = tolerance;
     bounds.share = quotaShare (sharing, peers, now);
-    bounds.evenShare = 1.0 / static_cast<double> (members);
+    bounds.equalShare = 1.0 / static_cast<double> (members);
     bounds.reportDelay = delay;
-    bounds.unsettled = unsettledTime (sharing, peers, now);
+    bounds.unsettled = remainingSettlingTime (sharing, peers, now);
     bounds.draw = draw;
-    bounds.knownSince = sharing.startTime + delay;
+    bounds.admissionsKnownSince = sharing.startTime + delay;
     return bounds;
 }
 
-auto askedOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
+auto demandOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
 {
     auto asked = peers.asked (now);
     const auto heard = std::max<std::size_t> (peers.countHeard (now), 1);
--- a/modules/snowrudder_serving/limits/QuotaSharing.h
+++ b/modules/snowrudder_serving/limits/QuotaSharing.h
@@ -10,7 +10,7 @@
 /** Nodes that start together know what the others admit 100 to 400 ms after they know each other (77 nodes). A request that a
     node's small part of the limits does not cover waits so long for that rather than be sent away for longer.
 */
-inline constexpr auto limitsPatience = 300ms;
+inline constexpr auto maxSettlingWait = 300ms;
 
 /** What a node knows of the others that share its limits. */
 struct QuotaSharing
@@ -20,11 +20,11 @@
     /** Nodes that the store last listed, this one included; nothing before it listed them once. */
     std::optional<std::size_t> members;
     /** Whether another node has told this one what is left of the limits. */
-    bool isAdopted = false;
+    bool hasAdoptedLevels = false;
 };
 
 /** @returns whether a node started so lately that others may not know it yet, nor it them. */
-auto isNewNode (const QuotaSharing& sharing, TimePoint now) -> bool;
+auto isRecentlyStarted (const QuotaSharing& sharing, TimePoint now) -> bool;
 
 /** @returns the part of the limits that a node may use: all while it hears most of the others, whose use it then counts;
     else an even part.
@@ -36,7 +36,7 @@
     waited for the last admitted 64 to 79% of what kept to its limit in their first 2 s, with the others 94 to 98%, where
     requests wait for it (virtual time).
 */
-auto unsettledTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration;
+auto remainingSettlingTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration;
 
 /** @returns whether a node knows what the others admit. */
 auto isSettled (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool;
@@ -51,6 +51,6 @@
 /** @returns tokens a second that the other nodes are asked for; those not heard are taken to be asked for as much as the
     others are.
 */
-auto askedOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts;
+auto demandOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/limits/SharedQuota.cpp
+++ b/modules/snowrudder_serving/limits/SharedQuota.cpp
@@ -14,54 +14,54 @@
 /** Of the tokens by which all nodes may go over the limit, the part that is given out as more burst. The rest covers what
     is admitted between two reports.
 */
-constexpr auto slackGivenOut = 0.2;
+constexpr auto burstShareOfSlack = 0.2;
 
 /** Of the burst, what a node that has just started takes for left: others may have used the rest, and nodes that were all
     killed together must not hand it out anew.
 */
-constexpr auto startShare = 0.08;
+constexpr auto initialBurstShare = 0.08;
 
 /** Of what all nodes may go over a limit in a window, the part that is handed out when they start anew: two starts within one
     window stay within it.
 */
-constexpr auto startShareOfTolerance = 0.25;
+constexpr auto initialShareOfTolerance = 0.25;
 
 /** So much of an account's rate is handed out at most while nodes that start don't know each other: the more nodes there are,
     the later each learns what the others admitted in that time.
 */
-constexpr auto unsettledPart = 300ms;
+constexpr auto unsettledRateTime = 300ms;
 
 /** A bucket is nearly full above this part of its burst. */
-constexpr auto tightShare = 0.7;
+constexpr auto lowBucketShare = 0.7;
 
 /** What a refused caller's request needs of the bucket, at most: it is admitted as soon as the bucket is not empty. */
-constexpr auto leastLevel = 1.0;
+constexpr auto minLevel = 1.0;
 
 /** Rations add up to this part of the rate when the bucket is empty and when it holds its reserve: what it holds then
     comes to rest between the two.
 */
-constexpr auto leastFilling = 0.5;
-constexpr auto mostFilling = 1.5;
+constexpr auto minRationFactor = 0.5;
+constexpr auto maxRationFactor = 1.5;
 
 /** A ration that is not used is saved up for this long. */
-constexpr auto rationTime = 250ms;
+constexpr auto maxRationBurstTime = 250ms;
 
 /** A ration, or an even part, that was not needed for so long begins anew. */
-constexpr auto partMemory = 2s;
+constexpr auto idleResetTime = 2s;
 
 /** @returns what all nodes together may hold of an account's burst. */
 auto burstOf (const RoutedAccount& account, const QuotaBounds& bounds) -> double
 {
-    return account.burstTokens + slackGivenOut * bounds.tolerance.slack;
+    return account.burstTokens + burstShareOfSlack * bounds.tolerance.slack;
 }
 
 /** @returns what is taken for left in an account's bucket when nobody knows. */
-auto startLevelOf (const RoutedAccount& account, const QuotaBounds& bounds) -> double
+auto initialLevelOf (const RoutedAccount& account, const QuotaBounds& bounds) -> double
 {
     const auto inWindow =
         account.tokensPerSecond * Seconds (bounds.tolerance.window).count() + account.burstTokens;
-    const auto level = startShare * burstOf (account, bounds) +
-                       startShareOfTolerance * bounds.tolerance.overshoot * inWindow;
+    const auto level = initialBurstShare * burstOf (account, bounds) +
+                       initialShareOfTolerance * bounds.tolerance.overshoot * inWindow;
     return std::min (level, burstOf (account, bounds));
 }
 
@@ -73,35 +73,35 @@
     @param tokensPerSecond  the account's limit over all nodes
     @param allAsked         tokens a second that all nodes together are asked for
 */
-auto timeToReturn (const TokenBucket& own, double tokensPerSecond, double allAsked) -> Duration
+auto retryDelayOf (const TokenBucket& own, double tokensPerSecond, double allAsked) -> Duration
 {
-    const auto missing = leastLevel - own.level;
+    const auto missing = minLevel - own.level;
     const auto pressure = std::max (1.0, allAsked / tokensPerSecond);
     const auto ofAllNodes =
         std::chrono::duration_cast<Duration> (Seconds (missing / tokensPerSecond * pressure));
-    return std::min (timeUntil (own, leastLevel), ofAllNodes);
+    return std::min (timeUntil (own, minLevel), ofAllNodes);
 }
 
 } // namespace
 
-auto SharedQuota::FadingSum::add (double more, TimePoint now) -> void
+auto SharedQuota::DecayingSum::add (double more, TimePoint now) -> void
 {
     tokens = left (now) + more;
     at = now;
 }
 
-auto SharedQuota::FadingSum::left (TimePoint now) const -> double
+auto SharedQuota::DecayingSum::left (TimePoint now) const -> double
 {
-    return tokens * std::exp (-Seconds (now - at) / Seconds (rateTime));
+    return tokens * std::exp (-Seconds (now - at) / Seconds (averagingTime));
 }
 
-auto SharedQuota::FadingSum::perSecond (TimePoint begun, TimePoint now) const -> double
+auto SharedQuota::DecayingSum::ratePerSecond (TimePoint begun, TimePoint now) const -> double
 {
     // A sum that began lately holds less than it will: what a node is asked for just after its start would look like a third
     // of it, and nodes that were all killed would take their buckets for full enough.
-    const auto age = std::max<Duration> (now - begun, leastAge);
-    const auto held = 1.0 - std::exp (-Seconds (age) / Seconds (rateTime));
-    return left (now) / (Seconds (rateTime).count() * held);
+    const auto age = std::max<Duration> (now - begun, minAveragingTime);
+    const auto held = 1.0 - std::exp (-Seconds (age) / Seconds (averagingTime));
+    return left (now) / (Seconds (averagingTime).count() * held);
 }
 
 auto SharedQuota::admit (const RoutedAccount& account,
@@ -111,7 +111,7 @@
 {
     auto& state = accounts[account.name];
 
-    if (! bounds.isAskedAgain)
+    if (! bounds.isAdmissionRetry)
         state.asked.add (tokens, now);
 
     if (account.tokensPerSecond > 0.0)
@@ -133,7 +133,7 @@
         return admitUnsettled (state, account, tokens, bounds, now);
 
     if (bounds.share < 1.0)
-        return admitEvenPart (state, account, tokens, bounds, now);
+        return admitEqualShare (state, account, tokens, bounds, now);
 
     return admitShared (state, account, tokens, bounds, now);
 }
@@ -145,11 +145,11 @@
                                TimePoint now) -> Admission
 {
     refillBucket (state, account, bounds, now);
-    const auto allAsked = state.asked.perSecond (startTime, now) + state.othersAskedPerSecond;
+    const auto allAsked = state.asked.ratePerSecond (startTime, now) + state.demandOfOthersPerSecond;
 
     // The last request may be larger than what is left; the bucket makes up for it.
-    if (state.bucket.level < leastLevel)
-        return { false, timeToReturn (state.bucket, account.tokensPerSecond, allAsked) };
+    if (state.bucket.level < minLevel)
+        return { false, retryDelayOf (state.bucket, account.tokensPerSecond, allAsked) };
 
     const auto reserve = allAsked * Seconds (bounds.reportDelay).count();
 
@@ -157,8 +157,8 @@
     {
         refillRation (state, tokens, reserve, bounds.draw, now);
 
-        if (state.ration.level < leastLevel)
-            return { false, timeToReturn (state.ration, account.tokensPerSecond, allAsked) };
+        if (state.ration.level < minLevel)
+            return { false, retryDelayOf (state.ration, account.tokensPerSecond, allAsked) };
 
         state.ration.level -= tokens;
     }
@@ -167,17 +167,17 @@
     return { true, {} };
 }
 
-auto SharedQuota::admitEvenPart (State& state,
+auto SharedQuota::admitEqualShare (State& state,
                                  const RoutedAccount& account,
                                  double tokens,
                                  const QuotaBounds& bounds,
                                  TimePoint now) -> Admission
 {
     refillBucket (state, account, bounds, now);
-    auto& part = state.evenPart;
+    auto& part = state.equalShareBucket;
 
     // It begins with its part of what all nodes had left when this one last heard them.
-    if (now - part.filled > partMemory)
+    if (now - part.filled > idleResetTime)
     {
         part.level = state.bucket.level * bounds.share;
         part.filled = now;
@@ -188,9 +188,9 @@
     refill (part, now);
     part.level = std::min (part.level, part.burst);
 
-    if (part.level < leastLevel)
+    if (part.level < minLevel)
         return { false,
-                 timeToReturn (part, account.tokensPerSecond, state.asked.perSecond (startTime, now)) };
+                 retryDelayOf (part, account.tokensPerSecond, state.asked.ratePerSecond (startTime, now)) };
 
     part.level -= tokens;
     state.bucket.level -= tokens;
@@ -211,19 +211,19 @@
         // Where an even part is less than one request, only some nodes admit their first. A debt that has come to rest is
         // larger than half of a usual request, since large ones are owed for longer.
         constexpr auto debtOfRequest = 2.0;
-        opening.burst = burstOf (account, bounds) * bounds.evenShare;
+        opening.burst = burstOf (account, bounds) * bounds.equalShare;
         opening.level =
-            startLevelOf (account, bounds) * bounds.evenShare - debtOfRequest * bounds.draw * tokens;
+            initialLevelOf (account, bounds) * bounds.equalShare - debtOfRequest * bounds.draw * tokens;
         opening.filled = now;
     }
 
-    const auto part = std::min (1.0, Seconds (unsettledPart) /
-                                         std::max (Seconds (bounds.reportDelay), Seconds (unsettledPart)));
-    opening.rate = account.tokensPerSecond * bounds.evenShare * part;
+    const auto part = std::min (1.0, Seconds (unsettledRateTime) /
+                                         std::max (Seconds (bounds.reportDelay), Seconds (unsettledRateTime)));
+    opening.rate = account.tokensPerSecond * bounds.equalShare * part;
     refill (opening, now);
 
-    if (opening.level < leastLevel)
-        return { false, std::min (bounds.unsettled, timeToReturn (opening, account.tokensPerSecond, 0.0)) };
+    if (opening.level < minLevel)
+        return { false, std::min (bounds.unsettled, retryDelayOf (opening, account.tokensPerSecond, 0.0)) };
 
     opening.level -= tokens;
     charge ({ { account.name, tokens } }, now);
@@ -239,13 +239,13 @@
     const auto burst = burstOf (account, bounds);
 
     if (bucket.filled == TimePoint())
-        bucket.filled = bounds.knownSince.value_or (now);
+        bucket.filled = bounds.admissionsKnownSince.value_or (now);
 
     // What was charged before the first request here left a debt, which has been filled up since.
-    if (! state.isBegun)
-        bucket.level += startLevelOf (account, bounds);
+    if (! state.hasInitialLevel)
+        bucket.level += initialLevelOf (account, bounds);
 
-    state.isBegun = true;
+    state.hasInitialLevel = true;
     bucket.burst = burst;
     bucket.rate = account.tokensPerSecond;
     refill (bucket, now);
@@ -256,15 +256,15 @@
     -> void
 {
     auto& ration = state.ration;
-    const auto asked = state.asked.perSecond (startTime, now);
+    const auto asked = state.asked.ratePerSecond (startTime, now);
 
-    const auto part = asked / (asked + state.othersAskedPerSecond);
-    const auto filling = leastFilling + (mostFilling - leastFilling) * state.bucket.level / reserve;
+    const auto part = asked / (asked + state.demandOfOthersPerSecond);
+    const auto filling = minRationFactor + (maxRationFactor - minRationFactor) * state.bucket.level / reserve;
     ration.rate = state.bucket.rate * part * filling;
-    ration.burst = std::max (leastLevel, ration.rate * Seconds (rationTime).count());
+    ration.burst = std::max (minLevel, ration.rate * Seconds (maxRationBurstTime).count());
 
     // Nodes whose rations all began full would each admit a request at the same moment.
-    if (now - ration.filled > partMemory)
+    if (now - ration.filled > idleResetTime)
     {
         ration.level = (std::min (1.0, ration.rate / asked) - draw) * tokens;
         ration.filled = now;
@@ -294,30 +294,30 @@
             continue;
 
         auto& state = accounts[account];
-        state.isBegun = true;
+        state.hasInitialLevel = true;
         // The other node has not heard yet what this one admitted since its start.
         state.bucket.level = *use.level - state.total;
         state.bucket.filled = now;
     }
 }
 
-auto SharedQuota::noteOthersAsked (const AccountAmounts& asked) -> void
+auto SharedQuota::setDemandOfOthers (const AccountAmounts& asked) -> void
 {
     for (auto& [account, state] : accounts)
-        state.othersAskedPerSecond = 0.0;
+        state.demandOfOthersPerSecond = 0.0;
 
     for (const auto& [account, amount] : asked)
-        accounts[account].othersAskedPerSecond = amount;
+        accounts[account].demandOfOthersPerSecond = amount;
 }
 
-auto SharedQuota::isTight (TimePoint now) const -> bool
+auto SharedQuota::hasLowBucket (TimePoint now) const -> bool
 {
     return std::ranges::any_of (accounts,
                                 [now] (const auto& entry)
                                 {
                                     const auto& bucket = entry.second.bucket;
                                     return bucket.rate > 0.0 &&
-                                           levelAt (bucket, now) < tightShare * bucket.burst;
+                                           levelAt (bucket, now) < lowBucketShare * bucket.burst;
                                 });
 }
 
@@ -331,11 +331,11 @@
             continue;
 
         auto& use = all[account];
-        use = { state.total, state.admitted.perSecond (startTime, now),
-                state.asked.perSecond (startTime, now), std::nullopt };
+        use = { state.total, state.admitted.ratePerSecond (startTime, now),
+                state.asked.ratePerSecond (startTime, now), std::nullopt };
 
         // A bucket that was adopted and not asked since has been charged, and not filled: what it holds is no level.
-        if (state.isBegun && state.bucket.rate > 0.0)
+        if (state.hasInitialLevel && state.bucket.rate > 0.0)
             use.level = levelAt (state.bucket, now);
     }
 
--- a/modules/snowrudder_serving/limits/SharedQuota.h
+++ b/modules/snowrudder_serving/limits/SharedQuota.h
@@ -20,7 +20,7 @@
     /** Part of the limit that this node may take: all of it, or an even part while it can't hear the others. */
     double share = 1.0;
     /** One node's even part of the limit. */
-    double evenShare = 1.0;
+    double equalShare = 1.0;
     /** Until every other node has heard what this one admitted. */
     Duration reportDelay {};
     /** For how long this node, which has just started, can't know yet what the others admit; it keeps to its even part. */
@@ -28,9 +28,9 @@
     /** A random number from 0 to 1. */
     double draw = 0.5;
     /** Whether the request was refused before and counts among those asked for already. */
-    bool isAskedAgain = false;
+    bool isAdmissionRetry = false;
     /** From when on this node knows what the others admit; until its first request an account's bucket fills from then. */
-    std::optional<TimePoint> knownSince {};
+    std::optional<TimePoint> admissionsKnownSince {};
 };
 
 /** The limits of client accounts, in tokens a second over all nodes, without a call for each request.
@@ -66,12 +66,12 @@
     auto adopt (const AdmittedByAccount& others, TimePoint now) -> void;
 
     /** Notes what all other nodes together are asked for, in tokens a second. */
-    auto noteOthersAsked (const AccountAmounts& asked) -> void;
+    auto setDemandOfOthers (const AccountAmounts& asked) -> void;
 
     /** @returns whether some account has used so much of its burst that the nodes must tell each other sooner what they
         admit. While buckets are nearly full late news change nothing.
     */
-    [[nodiscard]] auto isTight (TimePoint now) const -> bool;
+    [[nodiscard]] auto hasLowBucket (TimePoint now) const -> bool;
 
     /** @returns what this node admitted, by client account.
 
@@ -82,13 +82,13 @@
 
 private:
     /** Rates are averaged over this time: long against a request's size, short against a day's swing. */
-    static constexpr auto rateTime = Duration (2s);
+    static constexpr auto averagingTime = Duration (2s);
 
     /** A rate is taken over this time at least: a first request alone tells of none. */
-    static constexpr auto leastAge = Duration (200ms);
+    static constexpr auto minAveragingTime = Duration (200ms);
 
-    /** A sum of tokens that fades over `rateTime`. */
-    struct FadingSum
+    /** A sum of tokens that fades over `averagingTime`. */
+    struct DecayingSum
     {
         double tokens = 0.0;
         TimePoint at {};
@@ -96,25 +96,25 @@
         auto add (double more, TimePoint now) -> void;
         [[nodiscard]] auto left (TimePoint now) const -> double;
         /** @param begun  since when tokens were added */
-        [[nodiscard]] auto perSecond (TimePoint begun, TimePoint now) const -> double;
+        [[nodiscard]] auto ratePerSecond (TimePoint begun, TimePoint now) const -> double;
     };
 
     struct State
     {
         TokenBucket bucket;
         /** Whether the bucket has its first level. */
-        bool isBegun = false;
+        bool hasInitialLevel = false;
         /** This node's part of the rate while the bucket is nearly empty; its even part of it while the node is not settled. */
         TokenBucket ration;
         /** This node's even part of the limit while it hears too few of the others. It stands apart from the bucket, which goes on
             at the whole rate and is charged with what the others admitted: charged with that at the rate of its part, the bucket
             of a node that lost its reader for a second fell a second of the whole limit into debt.
         */
-        TokenBucket evenPart;
+        TokenBucket equalShareBucket;
         double total = 0.0;
-        FadingSum admitted;
-        FadingSum asked;
-        double othersAskedPerSecond = 0.0;
+        DecayingSum admitted;
+        DecayingSum asked;
+        double demandOfOthersPerSecond = 0.0;
     };
 
     auto admitLimited (State& state,
@@ -127,7 +127,7 @@
                       double tokens,
                       const QuotaBounds& bounds,
                       TimePoint now) -> Admission;
-    auto admitEvenPart (State& state,
+    auto admitEqualShare (State& state,
                         const RoutedAccount& account,
                         double tokens,
                         const QuotaBounds& bounds,
--- a/modules/snowrudder_serving/members/DatagramCodec.cpp
+++ b/modules/snowrudder_serving/members/DatagramCodec.cpp
@@ -107,7 +107,7 @@
         written->set_target_version (rollout.targetVersion);
         written->set_number (rollout.number);
         written->set_period_milliseconds (asMilliseconds (rollout.period));
-        written->set_age_milliseconds (asMilliseconds (now - rollout.ordered));
+        written->set_age_milliseconds (asMilliseconds (now - rollout.orderedAt));
         written->set_stage (static_cast<std::uint32_t> (rollout.stage));
     }
 }
--- a/modules/snowrudder_serving/members/Membership.cpp
+++ b/modules/snowrudder_serving/members/Membership.cpp
@@ -97,7 +97,7 @@
 
 auto Membership::listPause() const -> Duration
 {
-    const auto isNew = isNewNode (state.sharing, SteadyClock::now());
+    const auto isNew = isRecentlyStarted (state.sharing, SteadyClock::now());
     return jittered (isNew ? Duration (firstListInterval) : Duration (listInterval));
 }
 
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -128,7 +128,7 @@
         else if (const auto* prompt = std::get_if<PromptNotice> (&*message))
             state.replicas.notePromptHeard (prompt->replica, prompt->tokens, SteadyClock::now());
         else if (const auto* usage = std::get_if<UsageNotice> (&*message))
-            (usage->isOfRollouts ? state.rollouts.others() : state.usageOfOthers).note (*usage);
+            (usage->isOfRollouts ? state.rollouts.others() : state.usageOfOthers).record (*usage);
         else if (const auto* crashes = std::get_if<CrashNotice> (&*message))
             state.crashes.hear (crashes->evidence, crashes->node, state.role() == ReportRole::reader,
                                 SteadyClock::now());
@@ -159,7 +159,7 @@
     if (report.isSettled && ! isSettled (state.sharing, state.peers, now))
     {
         state.quota.adopt (report.admitted, now);
-        state.sharing.isAdopted = true;
+        state.sharing.hasAdoptedLevels = true;
         LogLine ("limits_adopted")
             .with ("from", report.node)
             .with ("accounts", report.admitted.size())
@@ -186,7 +186,7 @@
     takeLoads (notice.loads, false);
 
     for (const auto& rollout : notice.rollouts)
-        state.rollouts.take (rollout, notice.node);
+        state.rollouts.merge (rollout, notice.node);
 }
 
 auto PeerExchange::take (NewsAnswer answer) -> void
@@ -196,7 +196,7 @@
     state.rollouts.table.isKnown = state.rollouts.table.isKnown || answer.areRolloutsKnown;
 
     for (const auto& rollout : answer.rollouts)
-        state.rollouts.take (rollout, answer.node);
+        state.rollouts.merge (rollout, answer.node);
 
     const auto effect =
         takeAnswer (state.news, state.configuration, state.directory, std::move (answer), now);
@@ -213,9 +213,9 @@
     for (;;)
     {
         const auto now = SteadyClock::now();
-        const auto greetsSoon = ! hasGreeted && isNewNode (state.sharing, now);
+        const auto greetsSoon = ! hasGreeted && isRecentlyStarted (state.sharing, now);
         co_await pauseFor (state.loop, greetsSoon ? greetingInterval : nextReportIn (now));
-        state.quota.noteOthersAsked (askedOfOthers (state.sharing, state.peers, SteadyClock::now()));
+        state.quota.setDemandOfOthers (demandOfOthers (state.sharing, state.peers, SteadyClock::now()));
 
         if (! knowsOthers())
             continue;
@@ -237,7 +237,7 @@
     if (! isSettled (state.sharing, state.peers, now))
         return reportIntervalWhenUnsettled;
 
-    return state.quota.isTight (now) ? reportIntervalWhenTight : reportInterval;
+    return state.quota.hasLowBucket (now) ? reportIntervalWhenTight : reportInterval;
 }
 
 auto PeerExchange::usageLoop() -> Task<void>
@@ -274,7 +274,7 @@
 
     notice.domain = state.settings.failureDomain;
     notice.counts =
-        state.usageOfOthers.recentOfDomain (state.usage, state.trueTime.now (now) - keepTellingUsage);
+        state.usageOfOthers.recentDomainCounts (state.usage, state.trueTime.now (now) - keepTellingUsage);
 
     if (! notice.counts.empty())
         sendToReaders (encodeMessage (notice, membership.secret()));
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -205,7 +205,7 @@
     const auto end = asked + state.settings.grace - graceMargin;
     state.leaving = true;
     LogLine ("leaving").with ("open_requests", state.openRequests).info();
-    co_await giveUpLeadership (state, face.store);
+    co_await releaseLeadership (state, face.store);
     // Before the wait: the store may be away, and the grace time does not wait for it.
     co_await membership.leave();
 
--- a/modules/snowrudder_serving/node/ServingState.h
+++ b/modules/snowrudder_serving/node/ServingState.h
@@ -5,7 +5,7 @@
 #include "../crashes/CrashWatch.h"
 #include "../directory/ReplicaDirectory.h"
 #include "../duties/Leadership.h"
-#include "../duties/UsageGathering.h"
+#include "../duties/UsageCollector.h"
 #include "../duties/UsageWindows.h"
 #include "../limits/QuotaSharing.h"
 #include "../members/News.h"
@@ -49,7 +49,7 @@
     auto publishDirectory (TimePoint now) -> void
     {
         hasReplicas = hasReplicas || ! directory.entries.empty();
-        rollouts.noteDirectory (directory);
+        rollouts.recordListedVersions (directory);
         replicas.update (listedReplicas (directory), now);
     }
 
@@ -90,7 +90,7 @@
     ServiceQueues queues;
     RetryBudgets retryBudgets;
     UsageWindows usage;
-    UsageGathering usageOfOthers;
+    UsageCollector usageOfOthers;
     RolloutState rollouts;
     WorkMeter work;
     Leadership leadership;
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -153,7 +153,7 @@
 
     state.counts.attempts.add();
     auto ticket = taken->ticket;
-    state.work.note (request.service, ticket.expectedTokens, SteadyClock::now());
+    state.work.record (request.service, ticket.expectedTokens, SteadyClock::now());
     tried.push_back (ticket.number);
 
     state.announcePrompt ({ {}, replicaHash (ticket.info.name), ticket.expectedTokens });
@@ -400,7 +400,7 @@
 
     constexpr auto serverErrors = 500U;
     const auto isFailed = outcome.has_value() || call.status() >= serverErrors;
-    state.rollouts.noteAnswer (ticket.info, request.route->name, isFailed, attemptFirstByte,
+    state.rollouts.recordAnswer (ticket.info, request.route->name, isFailed, attemptFirstByte,
                                ticket.expectedTokens,
                                state.replicas.promptSpeed (request.service).value_or (startPromptSpeed));
 }
@@ -469,7 +469,7 @@
         return;
 
     isCounted = true;
-    state.usage.note (request.account->name, state.trueTime.now (SteadyClock::now()));
+    state.usage.record (request.account->name, state.trueTime.now (SteadyClock::now()));
 }
 
 auto RoutedRun::noteWhole (const UpstreamCall& call) -> void
--- a/modules/snowrudder_serving/rollout/RolloutDecider.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutDecider.cpp
@@ -10,17 +10,17 @@
 constexpr auto tick = 250ms;
 
 /** Operators read one word for both stages of a roll-out that is under way. */
-auto asRead (RolloutStage stage) -> RolloutStage
+auto publicStage (RolloutStage stage) -> RolloutStage
 {
     return stage == RolloutStage::moving ? RolloutStage::proving : stage;
 }
 
-auto isWritten (const RolloutState& rollouts, const Rollout& rollout) -> bool
+auto isStatusWritten (const RolloutState& rollouts, const Rollout& rollout) -> bool
 {
     const auto status = rollouts.statuses.find (rollout.service);
     return status != rollouts.statuses.end() && status->second.revision > rollout.number &&
            status->second.targetVersion == rollout.targetVersion &&
-           status->second.stage == asRead (rollout.stage);
+           status->second.stage == publicStage (rollout.stage);
 }
 
 /** Writes where a roll-out stands, if this node still has the duties.
@@ -30,7 +30,7 @@
 auto writeStatus (ServingState& state, const StateStore& store, const StoreFormats& formats, Rollout rollout)
     -> Task<bool>
 {
-    RolloutStatus status { rollout.service, rollout.targetVersion, asRead (rollout.stage), 0 };
+    RolloutStatus status { rollout.service, rollout.targetVersion, publicStage (rollout.stage), 0 };
     StoreTransaction transaction;
     transaction.conditions.push_back ({ std::string (leaderKey), state.leadership.fence });
     transaction.puts.push_back (formats.writeRolloutStatus (status));
@@ -68,9 +68,9 @@
 auto decide (ServingState& state, const StateStore& store, const StoreFormats& formats, Rollout rollout)
     -> Task<void>
 {
-    const auto verdict = state.rollouts.verdictOn (rollout);
-    const auto hasOthers = state.rollouts.isBesideOthers (rollout);
-    const auto next = stageOf (rollout, verdict, hasOthers, {}, SteadyClock::now());
+    const auto verdict = state.rollouts.verdictFor (rollout);
+    const auto hasOthers = state.rollouts.hasSeenOtherVersions (rollout);
+    const auto next = nextStage (rollout, verdict, hasOthers, {}, SteadyClock::now());
 
     if (next != rollout.stage)
     {
@@ -81,10 +81,10 @@
         if (next == RolloutStage::completed && ! co_await writeStatus (state, store, formats, rollout))
             co_return;
 
-        state.rollouts.take (rollout, state.settings.node);
+        state.rollouts.merge (rollout, state.settings.node);
     }
 
-    if (! isWritten (state.rollouts, rollout))
+    if (! isStatusWritten (state.rollouts, rollout))
         co_await writeStatus (state, store, formats, rollout);
 }
 
@@ -98,10 +98,10 @@
 
         for (const auto& rollout : state.rollouts.table.all())
         {
-            if (! mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()))
+            if (! mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()))
                 break;
 
-            if (isOpen (rollout) || ! isWritten (state.rollouts, rollout))
+            if (isOpen (rollout) || ! isStatusWritten (state.rollouts, rollout))
                 co_await decide (state, store, formats, rollout);
         }
     }
--- a/modules/snowrudder_serving/rollout/RolloutFollower.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutFollower.cpp
@@ -9,9 +9,9 @@
 /** Other readers tell of what a watch that was cut off does not. */
 constexpr auto watchTime = Duration (20s);
 constexpr auto failurePause = 500ms;
-constexpr auto idlePause = 1s;
+constexpr auto nonReaderPause = 1s;
 
-auto takeOrder (ServingState& state, const StoreFormats& formats, const StoredItem& item) -> void
+auto applyOrder (ServingState& state, const StoreFormats& formats, const StoredItem& item) -> void
 {
     if (item.isRemoved)
     {
@@ -29,7 +29,7 @@
         return;
     }
 
-    rollout->ordered = SteadyClock::now();
+    rollout->orderedAt = SteadyClock::now();
 
     // What stands for an earlier order of the same version says nothing of this one.
     if (const auto status = state.rollouts.statuses.find (rollout->service);
@@ -37,7 +37,7 @@
         status->second.targetVersion == rollout->targetVersion)
         rollout->stage = status->second.stage;
 
-    state.rollouts.take (*rollout, "store");
+    state.rollouts.merge (*rollout, "store");
 }
 
 auto readAll (ServingState& state, const StateStore& store, const StoreFormats& formats) -> Task<ReadItems>
@@ -57,9 +57,9 @@
         co_return orders;
 
     for (const auto& item : orders.items)
-        takeOrder (state, formats, item);
+        applyOrder (state, formats, item);
 
-    state.rollouts.table.isKnown = true;
+    state.rollouts.table.isLoaded = true;
     co_return orders;
 }
 
@@ -71,7 +71,7 @@
     {
         if (! state.news.isReader || ! state.sharing.members)
         {
-            co_await pauseFor (state.loop, idlePause);
+            co_await pauseFor (state.loop, nonReaderPause);
             continue;
         }
 
@@ -82,7 +82,7 @@
             known = co_await store.watch (formats.rolloutPrefix, known.revision, watchTime);
 
             for (const auto& item : known.items)
-                takeOrder (state, formats, item);
+                applyOrder (state, formats, item);
         }
 
         co_await pauseFor (state.loop, failurePause);
--- a/modules/snowrudder_serving/rollout/RolloutState.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutState.cpp
@@ -5,9 +5,9 @@
 namespace snowrudder
 {
 
-auto RolloutState::take (const Rollout& heard, std::string_view from) -> void
+auto RolloutState::merge (const Rollout& heard, std::string_view from) -> void
 {
-    if (! table.take (heard))
+    if (! table.merge (heard))
         return;
 
     LogLine ("rollout_stage")
@@ -27,12 +27,12 @@
         countsOfOthers.dropBefore (*std::ranges::min_element (open));
 }
 
-auto RolloutState::noteDirectory (const ReplicaDirectory& directory) -> void
+auto RolloutState::recordListedVersions (const ReplicaDirectory& directory) -> void
 {
     for (const auto& rollout : table.all())
-        if (isOpen (rollout) && ! besideOthers.contains (rollout.number) &&
+        if (isOpen (rollout) && ! numbersWithOtherVersions.contains (rollout.number) &&
             hasOtherVersions (directory, rollout.service, rollout.targetVersion))
-            besideOthers.insert (rollout.number);
+            numbersWithOtherVersions.insert (rollout.number);
 }
 
 auto RolloutState::ruleFor (const ReplicaDirectory& directory,
@@ -42,19 +42,19 @@
 {
     if (const auto* const rollout = table.find (service))
     {
-        const auto standsAlone = isOpen (*rollout) && ! isBesideOthers (*rollout);
+        const auto standsAlone = isOpen (*rollout) && ! hasSeenOtherVersions (*rollout);
         return standsAlone ? VersionRule() : versionRule (rollout, draw, isFirst, exposureShare);
     }
 
-    if (table.isKnown)
+    if (table.isLoaded)
         return {};
 
-    auto inService = versionOfMost (directory, service);
+    auto inService = mostCommonVersion (directory, service);
     return inService.empty() ? VersionRule()
                              : VersionRule { VersionRule::Kind::only, std::move (inService), false };
 }
 
-auto RolloutState::noteAnswer (const ReplicaInfo& replica,
+auto RolloutState::recordAnswer (const ReplicaInfo& replica,
                                std::string_view route,
                                bool isFailed,
                                std::optional<Duration> firstByte,
@@ -73,11 +73,11 @@
             quality = AnswerQuality::slow;
 
         if (! isTarget)
-            slowAnswers.note (route, *firstByte, tokens, speed);
+            slowAnswers.record (route, *firstByte, tokens, speed);
     }
 
     if (isCounted)
-        snowrudder::noteAnswer (counts[rollout->number], isTarget, route, replica.name, quality);
+        snowrudder::recordAnswer (counts[rollout->number], isTarget, route, replica.name, quality);
 }
 
 auto RolloutState::ownCounts() const -> CountsByWindow
@@ -85,7 +85,7 @@
     CountsByWindow own;
 
     for (const auto number : openNumbers())
-        if (auto known = ownOf (number); ! known.empty())
+        if (auto known = ownCountsOf (number); ! known.empty())
             own.emplace (number, std::move (known));
 
     return own;
@@ -96,15 +96,15 @@
     CountsByWindow all;
 
     for (const auto number : openNumbers())
-        if (auto known = countsOfOthers.ofDomain (number, ownOf (number)); ! known.empty())
+        if (auto known = countsOfOthers.countsOfDomain (number, ownCountsOf (number)); ! known.empty())
             all.emplace (number, std::move (known));
 
     return all;
 }
 
-auto RolloutState::verdictOn (const Rollout& rollout) const -> VersionVerdict
+auto RolloutState::verdictFor (const Rollout& rollout) const -> VersionVerdict
 {
-    return judgeVersion (readTallies (countsOfOthers.ofAll (rollout.number, ownOf (rollout.number))));
+    return judgeVersion (readTallies (countsOfOthers.countsOfAllNodes (rollout.number, ownCountsOf (rollout.number))));
 }
 
 auto RolloutState::openNumbers() const -> std::vector<std::uint64_t>
@@ -118,13 +118,13 @@
     return numbers;
 }
 
-auto RolloutState::ownOf (std::uint64_t number) const -> AccountCounts
+auto RolloutState::ownCountsOf (std::uint64_t number) const -> AccountCounts
 {
     const auto found = counts.find (number);
     return found == counts.end() ? AccountCounts() : found->second;
 }
 
-auto versionOfMost (const ReplicaDirectory& directory, std::string_view service) -> std::string
+auto mostCommonVersion (const ReplicaDirectory& directory, std::string_view service) -> std::string
 {
     std::map<std::string, std::size_t> replicas;
 
--- a/modules/snowrudder_serving/rollout/RolloutState.h
+++ b/modules/snowrudder_serving/rollout/RolloutState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "../directory/ReplicaDirectory.h"
-#include "../duties/UsageGathering.h"
+#include "../duties/UsageCollector.h"
 #include "../node/ServingSettings.h"
 
 #include "snowrudder_rollout/snowrudder_rollout.h"
@@ -31,19 +31,19 @@
     explicit RolloutState (const ServingSettings& settings)
         : exposureShare (settings.exposureShare), countsOfOthers (settings.failureDomain)
     {
-        table.isKnown = ! settings.followsRollouts;
+        table.isLoaded = ! settings.followsRollouts;
     }
 
     /** Takes in what the store or another node told; logs what is new. */
-    auto take (const Rollout& heard, std::string_view from) -> void;
+    auto merge (const Rollout& heard, std::string_view from) -> void;
 
     /** Notes which versions are listed. A version that stands alone from its order on is in service already. */
-    auto noteDirectory (const ReplicaDirectory& directory) -> void;
+    auto recordListedVersions (const ReplicaDirectory& directory) -> void;
 
     /** @returns whether other versions were listed beside a roll-out's, since its order was known. */
-    [[nodiscard]] auto isBesideOthers (const Rollout& rollout) const -> bool
+    [[nodiscard]] auto hasSeenOtherVersions (const Rollout& rollout) const -> bool
     {
-        return besideOthers.contains (rollout.number);
+        return numbersWithOtherVersions.contains (rollout.number);
     }
 
     /** @returns which replicas may run an attempt of a request.
@@ -63,7 +63,7 @@
         @param tokens     that the replica was expected to read
         @param speed      tokens that it reads a millisecond
     */
-    auto noteAnswer (const ReplicaInfo& replica,
+    auto recordAnswer (const ReplicaInfo& replica,
                      std::string_view route,
                      bool isFailed,
                      std::optional<Duration> firstByte,
@@ -77,28 +77,28 @@
     [[nodiscard]] auto domainCounts() const -> CountsByWindow;
 
     /** @returns what the answers that all nodes counted say of a roll-out's version. */
-    [[nodiscard]] auto verdictOn (const Rollout& rollout) const -> VersionVerdict;
+    [[nodiscard]] auto verdictFor (const Rollout& rollout) const -> VersionVerdict;
 
     RolloutTable table;
     /** By service, as the store has it. */
     std::map<std::string, RolloutStatus, std::less<>> statuses;
-    [[nodiscard]] auto others() -> UsageGathering& { return countsOfOthers; }
+    [[nodiscard]] auto others() -> UsageCollector& { return countsOfOthers; }
 
 private:
     [[nodiscard]] auto openNumbers() const -> std::vector<std::uint64_t>;
-    [[nodiscard]] auto ownOf (std::uint64_t number) const -> AccountCounts;
+    [[nodiscard]] auto ownCountsOf (std::uint64_t number) const -> AccountCounts;
 
     const double exposureShare;
-    SlowAnswers slowAnswers;
+    SlowAnswerDetector slowAnswers;
     /** By a roll-out's number. */
     CountsByWindow counts;
-    UsageGathering countsOfOthers;
+    UsageCollector countsOfOthers;
     /** Numbers of roll-outs beside whose version others were listed. */
-    std::set<std::uint64_t> besideOthers;
+    std::set<std::uint64_t> numbersWithOtherVersions;
 };
 
 /** @returns the version that most of a service's replicas have; empty where all have the same. */
-auto versionOfMost (const ReplicaDirectory& directory, std::string_view service) -> std::string;
+auto mostCommonVersion (const ReplicaDirectory& directory, std::string_view service) -> std::string;
 
 /** @returns whether a service has replicas that are not leaving and have another version. */
 auto hasOtherVersions (const ReplicaDirectory& directory, std::string_view service, std::string_view version)
--- a/tests/unit/CapacityTests.cpp
+++ b/tests/unit/CapacityTests.cpp
@@ -1,6 +1,6 @@
 #include "ServingFixtures.h"
 
-#include "snowrudder_serving/capacity/CapacityMemory.h"
+#include "snowrudder_serving/capacity/CapacityHistory.h"
 #include "snowrudder_serving/capacity/CapacityPlan.h"
 
 #include <catch2/catch.hpp>
@@ -99,14 +99,14 @@
 
     // Two domains may lose 28 of the 41 that are planned and left; 24 are wanted.
     input.serving["a"].reclaimable = 0;
-    input.dry = { "a" };
+    input.withoutReclaimable = { "a" };
     input.domainsAtRisk = 2;
     CHECK (totalOf (planCapacity (input)).onDemand == 11);
 
     // With one domain left nothing can be counted on.
     input.serving["b"].reclaimable = 0;
     input.serving["c"].reclaimable = 0;
-    input.dry = { "a", "b", "c" };
+    input.withoutReclaimable = { "a", "b", "c" };
     CHECK (totalOf (planCapacity (input)).onDemand == 24);
 }
 
@@ -115,12 +115,12 @@
 {
     auto input = inputFor (16.0);
     input.bounds.most = 20;
-    input.dry = { "a", "b", "c", "d" };
+    input.withoutReclaimable = { "a", "b", "c", "d" };
     auto plan = planCapacity (input);
     CHECK (plan["b"].onDemand == 16);
 
     input.orderedOnDemand["d"] = 10;
-    input.dry.erase ("d");
+    input.withoutReclaimable.erase ("d");
     plan = planCapacity (input);
     CHECK (plan["d"].onDemand == 10);
     CHECK (plan["b"].onDemand == 6);
@@ -130,7 +130,7 @@
 {
     auto input = inputFor (10.0);
     input.onDemandShare = 0.5;
-    input.dry = { "a", "b", "c", "d" };
+    input.withoutReclaimable = { "a", "b", "c", "d" };
     CHECK (totalOf (planCapacity (input)).onDemand == 5);
     input.neededForSlots = 7.2;
     CHECK (totalOf (planCapacity (input)).onDemand == 8);
@@ -140,7 +140,7 @@
 {
     auto input = inputFor (60.0);
     input.bounds.most = 10;
-    input.dry = { "a", "b", "c", "d" };
+    input.withoutReclaimable = { "a", "b", "c", "d" };
 
     for (const auto& [domain, capacity] : planCapacity (input))
         CHECK (capacity.onDemand == 8);
@@ -149,7 +149,7 @@
 TEST_CASE ("orders for reclaimable replicas that are not to be had leave room for on-demand ones")
 {
     auto input = inputFor (16.0);
-    input.dry = { "a", "b", "c", "d" };
+    input.withoutReclaimable = { "a", "b", "c", "d" };
     input.serving["a"] = { 0, 1 };
 
     const auto plan = planCapacity (input);
@@ -160,71 +160,71 @@
 TEST_CASE ("what is needed rises at once and falls slowly")
 {
     std::map<std::string, double> needed;
-    CHECK (noteNeeded (needed, "model", 10.0, 500ms) == Approx (10.0));
-    CHECK (noteNeeded (needed, "model", 20.0, 500ms) == Approx (20.0));
-    const auto fallen = noteNeeded (needed, "model", 5.0, 500ms);
+    CHECK (updateNeeded (needed, "model", 10.0, 500ms) == Approx (10.0));
+    CHECK (updateNeeded (needed, "model", 20.0, 500ms) == Approx (20.0));
+    const auto fallen = updateNeeded (needed, "model", 5.0, 500ms);
     CHECK (fallen < 20.0);
     CHECK (fallen > 19.0);
 }
 
 TEST_CASE ("a failure domain that loses most of its reclaimable replicas against its order was reclaimed")
 {
-    CapacityMemory memory;
-    noteOrder (memory, orderFor (20), StoreOutcome::done, start);
-    CHECK_FALSE (noteServing (memory, "model", "a", 0, start));
-    CHECK_FALSE (noteServing (memory, "model", "a", 20, start + 5s));
-    CHECK_FALSE (noteServing (memory, "model", "a", 15, start + 6s));
-    CHECK_FALSE (isReclaimWave (memory, "model", start + 6s));
-    CHECK (noteServing (memory, "model", "a", 3, start + 7s));
-    CHECK (dryDomains (memory, "model", start + 7s).contains ("a"));
-    CHECK (isReclaimWave (memory, "model", start + 7s));
-    CHECK_FALSE (isReclaimWave (memory, "other", start + 7s));
-    CHECK_FALSE (isReclaimWave (memory, "model", start + 20s));
+    CapacityHistory history;
+    recordOrder (history, orderFor (20), StoreOutcome::done, start);
+    CHECK_FALSE (recordServing (history, "model", "a", 0, start));
+    CHECK_FALSE (recordServing (history, "model", "a", 20, start + 5s));
+    CHECK_FALSE (recordServing (history, "model", "a", 15, start + 6s));
+    CHECK_FALSE (isReclaimWave (history, "model", start + 6s));
+    CHECK (recordServing (history, "model", "a", 3, start + 7s));
+    CHECK (unavailableDomains (history, "model", start + 7s).contains ("a"));
+    CHECK (isReclaimWave (history, "model", start + 7s));
+    CHECK_FALSE (isReclaimWave (history, "other", start + 7s));
+    CHECK_FALSE (isReclaimWave (history, "model", start + 20s));
 }
 
 TEST_CASE ("replicas that were given up are not taken for reclaimed")
 {
-    CapacityMemory memory;
-    noteOrder (memory, orderFor (20), StoreOutcome::done, start);
-    noteServing (memory, "model", "a", 20, start);
-    noteOrder (memory, orderFor (2), StoreOutcome::done, start + 1s);
-    CHECK_FALSE (noteServing (memory, "model", "a", 2, start + 2s));
-    CHECK_FALSE (isReclaimWave (memory, "model", start + 2s));
+    CapacityHistory history;
+    recordOrder (history, orderFor (20), StoreOutcome::done, start);
+    recordServing (history, "model", "a", 20, start);
+    recordOrder (history, orderFor (2), StoreOutcome::done, start + 1s);
+    CHECK_FALSE (recordServing (history, "model", "a", 2, start + 2s));
+    CHECK_FALSE (isReclaimWave (history, "model", start + 2s));
 }
 
 TEST_CASE ("a refused order is a sign of a wave, stands as it was, and is not tried again at once")
 {
-    CapacityMemory memory;
-    noteOrder (memory, orderFor (20), StoreOutcome::done, start);
-    noteOrder (memory, orderFor (25), StoreOutcome::refused, start + 1s);
-    CHECK (isReclaimWave (memory, "model", start + 1s));
-    CHECK (dryDomains (memory, "model", start + 1s).contains ("a"));
-    CHECK (dryDomains (memory, "model", start + 10s).empty());
-    CHECK (orderedReplicas (memory, "model", "a", true) == 20);
-    CHECK (orderedReplicas (memory, "model", "a", false) == 0);
+    CapacityHistory history;
+    recordOrder (history, orderFor (20), StoreOutcome::done, start);
+    recordOrder (history, orderFor (25), StoreOutcome::refused, start + 1s);
+    CHECK (isReclaimWave (history, "model", start + 1s));
+    CHECK (unavailableDomains (history, "model", start + 1s).contains ("a"));
+    CHECK (unavailableDomains (history, "model", start + 10s).empty());
+    CHECK (orderedReplicas (history, "model", "a", true) == 20);
+    CHECK (orderedReplicas (history, "model", "a", false) == 0);
 
     // On-demand ones are to be had as a rule; a refusal of theirs tells nothing of the others.
-    CapacityMemory other;
-    noteOrder (other, orderFor (5, false), StoreOutcome::refused, start);
+    CapacityHistory other;
+    recordOrder (other, orderFor (5, false), StoreOutcome::refused, start);
     CHECK_FALSE (isReclaimWave (other, "model", start));
 }
 
 TEST_CASE ("an order is given for more at once, for fewer in steps, and again when what serves still differs")
 {
-    CapacityMemory memory;
+    CapacityHistory history;
     constexpr auto boot = Duration (4s);
-    CHECK (isDue (memory, orderFor (18), 18, boot, start));
-    noteOrder (memory, orderFor (18), StoreOutcome::done, start);
-    CHECK_FALSE (isDue (memory, orderFor (18), 18, boot, start + 20s));
-    CHECK (isDue (memory, orderFor (19), 18, boot, start));
-    CHECK_FALSE (isDue (memory, orderFor (16), 18, boot, start + 20s));
-    CHECK (isDue (memory, orderFor (15), 18, boot, start));
-    CHECK_FALSE (isDue (memory, orderFor (18), 10, boot, start + 6s));
-    CHECK (isDue (memory, orderFor (18), 10, boot, start + 8s));
+    CHECK (isOrderDue (history, orderFor (18), 18, boot, start));
+    recordOrder (history, orderFor (18), StoreOutcome::done, start);
+    CHECK_FALSE (isOrderDue (history, orderFor (18), 18, boot, start + 20s));
+    CHECK (isOrderDue (history, orderFor (19), 18, boot, start));
+    CHECK_FALSE (isOrderDue (history, orderFor (16), 18, boot, start + 20s));
+    CHECK (isOrderDue (history, orderFor (15), 18, boot, start));
+    CHECK_FALSE (isOrderDue (history, orderFor (18), 10, boot, start + 6s));
+    CHECK (isOrderDue (history, orderFor (18), 10, boot, start + 8s));
 
     // A small order falls by one.
-    noteOrder (memory, orderFor (2), StoreOutcome::done, start);
-    CHECK (isDue (memory, orderFor (1), 2, boot, start));
+    recordOrder (history, orderFor (2), StoreOutcome::done, start);
+    CHECK (isOrderDue (history, orderFor (1), 2, boot, start));
 }
 
 TEST_CASE ("who takes the duty over takes back no replicas that boot on the orders before")
@@ -234,15 +234,15 @@
     // replicas=0`, where 14 booted, and 21 again 0.6 s later, which served 4 s after that.
     constexpr auto bootTime = Duration (4s);
     const auto taken = start + 20s;
-    CapacityMemory memory;
-    memory.takenOver = taken;
+    CapacityHistory history;
+    history.takenOverAt = taken;
 
-    CHECK_FALSE (isDue (memory, orderFor (0, false), 0, bootTime, taken));
-    CHECK_FALSE (isDue (memory, orderFor (28, false), 28, bootTime, taken + 5s));
-    CHECK (isDue (memory, orderFor (21, false), 0, bootTime, taken + 500ms));
-    CHECK (isDue (memory, orderFor (0, false), 14, bootTime, taken + 6s));
+    CHECK_FALSE (isOrderDue (history, orderFor (0, false), 0, bootTime, taken));
+    CHECK_FALSE (isOrderDue (history, orderFor (28, false), 28, bootTime, taken + 5s));
+    CHECK (isOrderDue (history, orderFor (21, false), 0, bootTime, taken + 500ms));
+    CHECK (isOrderDue (history, orderFor (0, false), 14, bootTime, taken + 6s));
 
     // Nothing boots on orders that nobody gave.
-    memory.takenOver.reset();
-    CHECK (isDue (memory, orderFor (0, false), 14, bootTime, taken));
+    history.takenOverAt.reset();
+    CHECK (isOrderDue (history, orderFor (0, false), 14, bootTime, taken));
 }
--- a/tests/unit/QuotaFleetTests.cpp
+++ b/tests/unit/QuotaFleetTests.cpp
@@ -48,7 +48,7 @@
                 report (index);
 
             deliver();
-            askAgain();
+            retryHeldRequests();
             ask (tokensPerSecond);
         }
     }
@@ -56,7 +56,7 @@
     /** Kills all nodes at once: nothing that they knew is left. */
     auto restartAll() -> void
     {
-        underWay.clear();
+        inFlight.clear();
         held.clear();
 
         for (auto& node : nodes)
@@ -69,7 +69,7 @@
     [[nodiscard]] auto admittedTokens() const -> double { return admittedSum; }
 
     /** @returns the longest time after which a refused caller was told to come back. */
-    [[nodiscard]] auto longestWaitTold() const -> Duration { return longestWait; }
+    [[nodiscard]] auto longestRetryAfter() const -> Duration { return longestWait; }
     /** @returns what one bucket for all nodes would have admitted. */
     /** Of one request, in tokens. */
     static constexpr auto largestSize = 60'000.0;
@@ -155,7 +155,7 @@
 
     auto send (std::size_t source, std::size_t target, PeerReport report) -> void
     {
-        underWay.push_back ({ now + 2 * tick, source, target, std::move (report) });
+        inFlight.push_back ({ now + 2 * tick, source, target, std::move (report) });
     }
 
     auto report (std::size_t index) -> void
@@ -167,7 +167,7 @@
 
         node.nextReport = now + (isUnsettled (node) ? reportIntervalWhenUnsettled : reportIntervalWhenTight);
         node.peers.refreshRates (now);
-        node.quota.noteOthersAsked (askedOfOthers (node.sharing, node.peers, now));
+        node.quota.setDemandOfOthers (demandOfOthers (node.sharing, node.peers, now));
         const auto own = role (index);
         const auto told = makeReport (index, scopeToTell (own), {});
 
@@ -199,9 +199,9 @@
 
     auto deliver() -> void
     {
-        for (; ! underWay.empty() && underWay.front().arrival <= now; underWay.pop_front())
+        for (; ! inFlight.empty() && inFlight.front().arrival <= now; inFlight.pop_front())
         {
-            const auto datagram = underWay.front();
+            const auto datagram = inFlight.front();
             auto& node = nodes[datagram.target];
             const auto& told = datagram.report;
 
@@ -216,7 +216,7 @@
             if (told.isSettled && isUnsettled (node))
             {
                 node.quota.adopt (told.admitted, now);
-                node.sharing.isAdopted = true;
+                node.sharing.hasAdoptedLevels = true;
             }
 
             node.quota.charge (node.peers.note (told, now), now);
@@ -233,18 +233,18 @@
         {
             auto& node = nodes[std::uniform_int_distribution<std::size_t> (0, nodes.size() - 1) (random)];
             const auto size = std::min (sizes (random), largestSize);
-            askCentral (size);
+            requestFromCentral (size);
 
             if (! admit (node, size, false) && isUnsettled (node))
                 held.push_back ({ now, &node, size });
         }
     }
 
-    auto admit (Node& node, double size, bool isAskedAgain) -> bool
+    auto admit (Node& node, double size, bool isAdmissionRetry) -> bool
     {
         const auto draw = std::uniform_real_distribution<double> (0.0, 1.0) (random);
         auto bounds = quotaBounds (node.sharing, node.peers, tolerance, draw, now);
-        bounds.isAskedAgain = isAskedAgain;
+        bounds.isAdmissionRetry = isAdmissionRetry;
 
         const auto admission = node.quota.admit (limits, size, bounds, now);
 
@@ -260,13 +260,13 @@
     }
 
     /** Requests that a node refused before it knew what the others admit, and holds until it does. */
-    auto askAgain() -> void
+    auto retryHeldRequests() -> void
     {
         std::erase_if (held,
                        [&] (const Held& request)
                        {
                            if (isUnsettled (*request.node))
-                               return now - request.arrival > limitsPatience;
+                               return now - request.arrival > maxSettlingWait;
 
                            admit (*request.node, request.size, true);
                            return true;
@@ -279,12 +279,12 @@
     }
 
     /** What one bucket for all nodes would admit, the best that can be had. */
-    auto askCentral (double size) -> void
+    auto requestFromCentral (double size) -> void
     {
-        constexpr auto leastLevel = 1.0;
+        constexpr auto minLevel = 1.0;
         refill (central, now);
 
-        if (central.level < leastLevel)
+        if (central.level < minLevel)
             return;
 
         central.level -= size;
@@ -296,7 +296,7 @@
     std::mt19937_64 random;
     TimePoint now = start;
     std::vector<Node> nodes;
-    std::deque<Datagram> underWay;
+    std::deque<Datagram> inFlight;
     std::vector<Held> held;
     std::vector<std::pair<TimePoint, double>> admitted;
     Duration longestWait {};
@@ -483,7 +483,7 @@
                                            limitOf (rate).burstTokens);
             const auto wholeLimit =
                 std::chrono::duration<double> ((QuotaFleet::largestSize + mostOver) / rate);
-            CHECK (fleet.longestWaitTold() <= pressure * wholeLimit);
+            CHECK (fleet.longestRetryAfter() <= pressure * wholeLimit);
             CHECK (fleet.mostOverLimit() <= 0.0);
         });
 }
--- a/tests/unit/ReportTests.cpp
+++ b/tests/unit/ReportTests.cpp
@@ -1,6 +1,6 @@
 #include "ServingFixtures.h"
 
-#include "snowrudder_serving/duties/UsageGathering.h"
+#include "snowrudder_serving/duties/UsageCollector.h"
 #include "snowrudder_serving/members/PeerTable.h"
 #include "snowrudder_serving/members/PromptBudget.h"
 #include "snowrudder_serving/members/ReportRole.h"
@@ -69,7 +69,7 @@
     [[nodiscard]] auto countedAt (std::size_t index) const -> std::uint64_t
     {
         const auto& node = nodes[index];
-        const auto all = node.gathered.ofAll (window, node.usage.countsOf (window));
+        const auto all = node.gathered.countsOfAllNodes (window, node.usage.countsOf (window));
         const auto found = all.find ("alpha");
         return found == all.end() ? 0 : found->second;
     }
@@ -91,7 +91,7 @@
         bool isReader = false;
         std::uint64_t incarnation = 1;
         UsageWindows usage { windowLength };
-        UsageGathering gathered { "" };
+        UsageCollector gathered { "" };
         Duration nextNotice {};
     };
 
@@ -108,7 +108,7 @@
         node.name = std::to_string (index);
         node.domain = index % domains;
         node.isReader = index < readers;
-        node.gathered = UsageGathering (domainName (node.domain));
+        node.gathered = UsageCollector (domainName (node.domain));
         node.nextNotice = now + std::uniform_int_distribution<int> (0, 49) (random) * tick;
         return node;
     }
@@ -130,7 +130,7 @@
             return;
 
         notice.domain = domainName (node.domain);
-        notice.counts = node.gathered.recentOfDomain (node.usage, Duration::zero());
+        notice.counts = node.gathered.recentDomainCounts (node.usage, Duration::zero());
 
         for (auto reader = std::size_t { 0 }; reader < readers; ++reader)
             send (reader, notice);
@@ -158,7 +158,7 @@
                 continue;
             }
 
-            nodes[place->target].gathered.note (place->notice);
+            nodes[place->target].gathered.record (place->notice);
             place = underWay.erase (place);
         }
     }
@@ -173,7 +173,7 @@
         for (auto left = std::poisson_distribution<int> (mean) (random); left > 0; --left)
         {
             auto& node = nodes[std::uniform_int_distribution<std::size_t> (0, nodes.size() - 1) (random)];
-            node.usage.note ("alpha", now);
+            node.usage.record ("alpha", now);
             ++counted;
         }
     }
--- a/tests/unit/RolloutTests.cpp
+++ b/tests/unit/RolloutTests.cpp
@@ -34,7 +34,7 @@
     /** From when on, as a part of the period. */
     double badFrom = 0.0;
     /** Of all replicas, the part that fails 40% of its requests for some seconds, whatever its version. */
-    double sickReplicas = 0.0;
+    double failingReplicas = 0.0;
     std::size_t targetReplicas = 12;
     std::size_t otherReplicas = 100;
     Duration period = 12s;
@@ -59,17 +59,17 @@
     Rollout rollout { "model", "v2", 7, plan.period, start, RolloutStage::proving };
     NamedCounts counts;
     RolloutResult result;
-    std::vector<bool> isTargetSick;
-    std::vector<bool> isOtherSick;
+    std::vector<bool> isTargetFailing;
+    std::vector<bool> isOtherFailing;
 
     for (std::size_t index = 0; index < plan.targetReplicas; ++index)
-        isTargetSick.push_back (isDrawnBy (plan.sickReplicas));
+        isTargetFailing.push_back (isDrawnBy (plan.failingReplicas));
 
     for (std::size_t index = 0; index < plan.otherReplicas; ++index)
-        isOtherSick.push_back (isDrawnBy (plan.sickReplicas));
+        isOtherFailing.push_back (isDrawnBy (plan.failingReplicas));
 
-    const auto sickFrom = start + 2s;
-    const auto sickUntil = start + 8s;
+    const auto failingFrom = start + 2s;
+    const auto failingUntil = start + 8s;
 
     for (auto now = start; now < start + plan.period && isOpen (rollout); now += step)
     {
@@ -84,18 +84,18 @@
                 const auto rule = versionRule (&rollout, random(), true, 0.1);
                 const auto isTarget = rule.kind == VersionRule::Kind::only;
                 const auto replica = random() % (isTarget ? plan.targetReplicas : plan.otherReplicas);
-                const auto isSick =
-                    (isTarget ? isTargetSick : isOtherSick)[replica] && now >= sickFrom && now < sickUntil;
+                const auto isReplicaFailing =
+                    (isTarget ? isTargetFailing : isOtherFailing)[replica] && now >= failingFrom && now < failingUntil;
                 const auto isWorse =
                     isTarget && (! plan.onRoute || *plan.onRoute == route) &&
                     now >= start + std::chrono::duration_cast<Duration> (plan.period * plan.badFrom);
                 const auto isFailed =
-                    isDrawnBy (traits.failed + (isSick ? 0.4 : 0.0) + (isWorse ? plan.moreFailed : 0.0));
+                    isDrawnBy (traits.failed + (isReplicaFailing ? 0.4 : 0.0) + (isWorse ? plan.moreFailed : 0.0));
                 const auto isSlow = isDrawnBy (traits.slow + (isWorse ? plan.moreSlow : 0.0));
                 const auto quality = isFailed ? AnswerQuality::failed
                                      : isSlow ? AnswerQuality::slow
                                               : AnswerQuality::good;
-                noteAnswer (counts, isTarget, "route " + std::to_string (route), std::to_string (replica),
+                recordAnswer (counts, isTarget, "route " + std::to_string (route), std::to_string (replica),
                             quality);
                 ++result.all;
                 result.exposed += isTarget ? 1 : 0;
@@ -104,7 +104,7 @@
         }
 
         // Counts come some hundred milliseconds late, as one look at them does.
-        rollout.stage = stageOf (rollout, judgeVersion (readTallies (counts)), true, {}, now + step);
+        rollout.stage = nextStage (rollout, judgeVersion (readTallies (counts)), true, {}, now + step);
     }
 
     result.stage = rollout.stage;
@@ -161,9 +161,9 @@
     RolloutPlan plan;
     plan.targetReplicas = GENERATE (std::size_t { 4 }, std::size_t { 12 }, std::size_t { 100 });
     // Three of four replicas are sick together in one of 100 draws of 0.14: little tells that from a bad version.
-    plan.sickReplicas = plan.targetReplicas == 4 ? 0.0 : GENERATE (0.14, 0.45);
+    plan.failingReplicas = plan.targetReplicas == 4 ? 0.0 : GENERATE (0.14, 0.45);
     const auto sums = playSeeds (plan);
-    CAPTURE (plan.sickReplicas, plan.targetReplicas);
+    CAPTURE (plan.failingReplicas, plan.targetReplicas);
     CHECK (sums.rolledBack <= onePercent());
     CHECK (sums.completed + onePercent() >= seeds());
 }
@@ -194,11 +194,11 @@
     SECTION ("it is beside sick replicas")
     {
         plan.moreFailed = 0.3;
-        plan.sickReplicas = 0.14;
+        plan.failingReplicas = 0.14;
     }
 
     const auto sums = playSeeds (plan);
-    CAPTURE (plan.moreFailed, plan.moreSlow, plan.badFrom, plan.targetReplicas, plan.sickReplicas,
+    CAPTURE (plan.moreFailed, plan.moreSlow, plan.badFrom, plan.targetReplicas, plan.failingReplicas,
              sums.mostBad);
     CHECK (sums.rolledBack + onePercent() >= seeds());
     CHECK (sums.overExposed <= seeds() / 1000);
@@ -228,35 +228,35 @@
 {
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
     VersionVerdict verdict;
-    CHECK (stageOf (rollout, verdict, true, {}, start + 20s) == RolloutStage::proving);
-    CHECK (stageOf (rollout, verdict, false, {}, start + 1s) == RolloutStage::proving);
-    verdict.answers = leastAnswers;
-    CHECK (stageOf (rollout, verdict, true, {}, start + 5s) == RolloutStage::proving);
-    CHECK (stageOf (rollout, verdict, true, {}, start + 9s) == RolloutStage::moving);
-    CHECK (stageOf (rollout, verdict, false, {}, start + 1s) == RolloutStage::completed);
+    CHECK (nextStage (rollout, verdict, true, {}, start + 20s) == RolloutStage::proving);
+    CHECK (nextStage (rollout, verdict, false, {}, start + 1s) == RolloutStage::proving);
+    verdict.answers = minAnswers;
+    CHECK (nextStage (rollout, verdict, true, {}, start + 5s) == RolloutStage::proving);
+    CHECK (nextStage (rollout, verdict, true, {}, start + 9s) == RolloutStage::moving);
+    CHECK (nextStage (rollout, verdict, false, {}, start + 1s) == RolloutStage::completed);
 }
 
 TEST_CASE ("Of two nodes' words of a roll-out the later order and the later stage hold", "[rollout]")
 {
     RolloutTable table;
     Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
-    CHECK (table.take (rollout));
-    CHECK_FALSE (table.take (rollout));
+    CHECK (table.merge (rollout));
+    CHECK_FALSE (table.merge (rollout));
 
     auto decided = rollout;
     decided.stage = RolloutStage::rolledBack;
-    CHECK (table.take (decided));
-    CHECK_FALSE (table.take (rollout));
+    CHECK (table.merge (decided));
+    CHECK_FALSE (table.merge (rollout));
     CHECK (table.find ("model")->stage == RolloutStage::rolledBack);
 
     auto second = rollout;
     second.number = 9;
     second.targetVersion = "v3";
-    CHECK (table.take (second));
-    CHECK_FALSE (table.take (decided));
-    CHECK (table.isMoving ("model"));
+    CHECK (table.merge (second));
+    CHECK_FALSE (table.merge (decided));
+    CHECK (table.hasOpenRollout ("model"));
     CHECK (table.withdraw ("model", 9));
-    CHECK_FALSE (table.isMoving ("model"));
+    CHECK_FALSE (table.hasOpenRollout ("model"));
     CHECK (versionRule (table.find ("model"), 0, true, 0.1).kind == VersionRule::Kind::allBut);
 }
 
@@ -267,7 +267,7 @@
     // `rollout_verdict before=moving stage=rolled_back answers=74 bad=21 evidence=9.510 reason="slow on /again/"`
     RolloutState state { ServingSettings() };
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::moving };
-    state.take (rollout, "test");
+    state.merge (rollout, "test");
     ReplicaInfo replica;
     replica.service = "model";
     replica.version = "v2";
@@ -275,10 +275,10 @@
     for (auto number = 0; number < 100; ++number)
     {
         replica.name = std::to_string (number % 10);
-        state.noteAnswer (replica, "route", true, {}, 0.0, 1.0);
+        state.recordAnswer (replica, "route", true, {}, 0.0, 1.0);
     }
 
-    CHECK_FALSE (state.verdictOn (rollout).isBad);
+    CHECK_FALSE (state.verdictFor (rollout).isBad);
     CHECK (state.ownCounts().empty());
 }
 
--- a/tests/unit/ServingTests.cpp
+++ b/tests/unit/ServingTests.cpp
@@ -2,7 +2,7 @@
 
 #include "snowrudder_serving/configuration/ConfigurationState.h"
 #include "snowrudder_serving/duties/Leadership.h"
-#include "snowrudder_serving/duties/UsageGathering.h"
+#include "snowrudder_serving/duties/UsageCollector.h"
 #include "snowrudder_serving/limits/SharedQuota.h"
 #include "snowrudder_serving/members/DatagramCodec.h"
 #include "snowrudder_serving/members/PeerTable.h"
@@ -177,13 +177,13 @@
     SharedQuota quota;
     const auto limits = account (100.0, 1000.0);
     quota.admit (limits, 1.0, QuotaBounds(), start);
-    CHECK (quota.isTight (start));
-    CHECK_FALSE (quota.isTight (start + 20s));
+    CHECK (quota.hasLowBucket (start));
+    CHECK_FALSE (quota.hasLowBucket (start + 20s));
 
     // Others' use counts as well.
     quota.charge ({ { "alpha", 900.0 } }, start);
-    CHECK (quota.isTight (start + 1s));
-    CHECK_FALSE (SharedQuota().isTight (start));
+    CHECK (quota.hasLowBucket (start + 1s));
+    CHECK_FALSE (SharedQuota().hasLowBucket (start));
 }
 
 TEST_CASE ("a node that has just started does not give the whole burst out anew")
@@ -219,7 +219,7 @@
     const auto limits = account (1000.0, 5000.0);
     QuotaBounds unsettled;
     unsettled.unsettled = 300ms;
-    unsettled.evenShare = 0.5;
+    unsettled.equalShare = 0.5;
     SharedQuota first (start);
     first.admit (limits, 100.0, unsettled, start);
     SharedQuota aware (start - 10s);
@@ -330,40 +330,40 @@
 
 TEST_CASE ("usage counts of a node outlive its restart, and come from two readers of a domain once")
 {
-    UsageGathering reader ("hall-a");
+    UsageCollector reader ("hall-a");
     UsageNotice notice;
     notice.node = "one";
     notice.incarnation = 1;
     notice.counts[10]["alpha"] = 4;
-    reader.note (notice);
-    reader.note (notice);
+    reader.record (notice);
+    reader.record (notice);
 
     notice.incarnation = 2;
     notice.counts[10]["alpha"] = 3;
-    reader.note (notice);
-    CHECK (reader.ofAll (10, {})["alpha"] == 7);
+    reader.record (notice);
+    CHECK (reader.countsOfAllNodes (10, {})["alpha"] == 7);
 
     // A late notice of the earlier start changes nothing.
     notice.incarnation = 1;
-    reader.note (notice);
-    CHECK (reader.ofAll (10, {})["alpha"] == 7);
+    reader.record (notice);
+    CHECK (reader.countsOfAllNodes (10, {})["alpha"] == 7);
 
     // The other reader of the domain knows the same nodes and one more; another domain's two readers tell of it.
     notice.domain = "hall-a";
     notice.counts[10]["alpha"] = 9;
-    reader.note (notice);
-    CHECK (reader.ofAll (10, {})["alpha"] == 9);
+    reader.record (notice);
+    CHECK (reader.countsOfAllNodes (10, {})["alpha"] == 9);
 
     for (const auto count : { 20U, 18U })
     {
         notice.domain = "hall-b";
         notice.counts[10]["alpha"] = count;
-        reader.note (notice);
+        reader.record (notice);
     }
 
-    CHECK (reader.ofAll (10, { { "alpha", 5 } })["alpha"] == 32);
-    CHECK (reader.ofDomain (10, { { "alpha", 5 } })["alpha"] == 12);
-    CHECK (reader.ofAll (11, {}).empty());
+    CHECK (reader.countsOfAllNodes (10, { { "alpha", 5 } })["alpha"] == 32);
+    CHECK (reader.countsOfDomain (10, { { "alpha", 5 } })["alpha"] == 12);
+    CHECK (reader.countsOfAllNodes (11, {}).empty());
 }
 
 TEST_CASE (
@@ -440,19 +440,19 @@
     Leadership own;
     own.lease = 1;
     own.leaseEnd = start + times.lease;
-    noteHeld (own, 40);
-    CHECK (mayAct (own, times, start));
-    CHECK_FALSE (mayAct (own, times, start + times.lease - times.call - times.margin));
+    recordAcquisition (own, 40);
+    CHECK (mayCallDuty (own, times, start));
+    CHECK_FALSE (mayCallDuty (own, times, start + times.lease - times.call - times.margin));
 
     // The answer to a renewal that was sent at the start arrives much later: the lease counts from the sending.
-    noteRenewal (own, StoreOutcome::done, times, start);
+    recordRenewal (own, StoreOutcome::done, times, start);
     CHECK (own.leaseEnd == start + times.lease);
 
-    noteRenewal (own, StoreOutcome::unknown, times, start + 1s);
+    recordRenewal (own, StoreOutcome::unknown, times, start + 1s);
     CHECK (own.leaseEnd == start + times.lease);
 
-    noteRenewal (own, StoreOutcome::refused, times, start + 2s);
-    CHECK_FALSE (mayAct (own, times, start));
+    recordRenewal (own, StoreOutcome::refused, times, start + 2s);
+    CHECK_FALSE (mayCallDuty (own, times, start));
     CHECK_FALSE (mayCompete (own, times, start + 3s));
     CHECK (mayCompete (own, times, start + 2s + times.pause));
 }
--- a/tests/unit/UsageScheduleTests.cpp
+++ b/tests/unit/UsageScheduleTests.cpp
@@ -38,15 +38,15 @@
     // nobody reported them. Seen as "usage of window 356670888 didn't come"; that day's logs were not read, the cause was found
     // in the code and shown by the process test of restarts in turn.
     const UsageWindows own (windowLength);
-    UsageGathering others ("hall-a");
-    others.note (noticeOf (99, 7));
+    UsageCollector others ("hall-a");
+    others.record (noticeOf (99, 7));
     UsageSchedule schedule;
     schedule.started = middle;
 
     CHECK (windowsDue (schedule, own, others, middle + 3s) == std::vector<std::uint64_t> { 99 });
 
     // A window in which nobody counted anything after one in which somebody did is due as well.
-    others.note (noticeOf (98, 3));
+    others.record (noticeOf (98, 3));
     const std::vector<std::uint64_t> both { 98, 99 };
     CHECK (windowsDue (schedule, own, others, middle + 3s) == both);
 
@@ -57,8 +57,8 @@
 TEST_CASE ("a holder that has just started waits until the others have told it their counts")
 {
     const UsageWindows own (windowLength);
-    UsageGathering others ("hall-a");
-    others.note (noticeOf (99, 7));
+    UsageCollector others ("hall-a");
+    others.record (noticeOf (99, 7));
     UsageSchedule schedule;
     schedule.started = middle;
     CHECK (windowsDue (schedule, own, others, middle + 1s) == noWindows());
@@ -67,7 +67,7 @@
 TEST_CASE ("windows from before the first start of all nodes are not reported, empty ones after it are")
 {
     const UsageWindows own (windowLength);
-    const UsageGathering others ("hall-a");
+    const UsageCollector others ("hall-a");
     UsageSchedule schedule;
     schedule.started = middle;
     CHECK (windowsDue (schedule, own, others, middle + 3s) == noWindows());
@@ -89,8 +89,8 @@
 
     const auto message = decodeMessage (encodeMessage (idle, "secret"), "secret");
     REQUIRE (message);
-    UsageGathering others ("hall-a");
-    others.note (std::get<UsageNotice> (*message));
+    UsageCollector others ("hall-a");
+    others.record (std::get<UsageNotice> (*message));
 
     const UsageWindows own (windowLength);
     UsageSchedule schedule;
@@ -102,17 +102,17 @@
 {
     // The holder before it stopped without knowing of this node, and told it nothing. It had settled window 98.
     const UsageWindows own (windowLength);
-    const UsageGathering others ("hall-a");
+    const UsageCollector others ("hall-a");
     UsageSchedule schedule;
     schedule.started = middle;
-    schedule.settledBefore = 98;
+    schedule.lastPersistedWindow = 98;
     CHECK (windowsDue (schedule, own, others, middle + 3s) == std::vector<std::uint64_t> { 98, 99 });
 }
 
 TEST_CASE ("a window is due two seconds after its end, and for twenty seconds")
 {
     const UsageWindows own (windowLength);
-    const UsageGathering others ("hall-a");
+    const UsageCollector others ("hall-a");
     const UsageSchedule schedule;
     const auto end = own.endOf (99);
     const auto isDue = [&] (Duration now)
