--- a/modules/snowrudder_rollout/evidence/AnswerTally.cpp
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-// A count's name: whose, how it ended, and the route or replica.
+// The name of a count consists of its group, the answer's quality, and the route or replica.
 constexpr auto ofTarget = 't';
 constexpr auto ofOthers = 'o';
 constexpr auto ofReplica = 'r';
@@ -27,9 +27,9 @@
     return 'g';
 }
 
-auto countName (char whose, AnswerQuality quality, std::string_view what) -> std::string
+auto countName (char group, AnswerQuality quality, std::string_view what) -> std::string
 {
-    std::string name { whose, codeOf (quality) };
+    std::string name { group, codeOf (quality) };
     name += what;
     return name;
 }
--- a/modules/snowrudder_rollout/evidence/AnswerTally.h
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.h
@@ -10,16 +10,16 @@
 namespace snowrudder
 {
 
-/** How a request's first attempt ended. */
+/** Result of the first attempt of a request. */
 enum class AnswerQuality : std::uint8_t
 {
     good,
-    /** Several times later than the route's answers are. */
+    /** Several times later than the usual answers of the route. */
     slow,
     failed
 };
 
-/** Answers to first attempts. */
+/** Number of answers to first attempts, by result. */
 struct AnswerTally
 {
     std::uint64_t answers = 0;
@@ -33,11 +33,11 @@
     /** By route. */
     std::map<std::string, AnswerTally, std::less<>> target;
     std::map<std::string, AnswerTally, std::less<>> others;
-    /** Of the target version, by replica. */
+    /** Answers of the target version, by replica. */
     std::map<std::string, AnswerTally, std::less<>> replicas;
 };
 
-/** Counts as nodes tell them each other: names of counts, and counts that only grow. */
+/** Counts by name, in the form in which nodes exchange them. Counts never decrease. */
 using NamedCounts = std::map<std::string, std::uint64_t, std::less<>>;
 
 /** Counts an answer.
@@ -51,7 +51,7 @@
                  std::string_view replica,
                  AnswerQuality quality) -> void;
 
-/** @returns what the counts of all nodes together say; names that are not understood are left out. */
+/** @returns the tallies from the counts of all nodes together. Counts with unknown names are ignored. */
 auto readTallies (const NamedCounts& counts) -> VersionTallies;
 
 /** @returns the sum over all routes. */
--- a/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
@@ -8,16 +8,18 @@
 namespace
 {
 
-/** An answer that takes so many times the median is slow. */
+/** An answer that takes this many times the median is slow. */
 constexpr auto slowFactor = 3.5;
 
-/** Answers of a route before its median counts. */
+/** Answers of a route before its median is used. */
 constexpr auto minAnswersForMedian = std::uint32_t { 20 };
 
-/** What an answer takes beside its prompt, in milliseconds: short answers don't differ by as little as their prompts do. */
+/** Time that an answer takes in addition to its prompt, in milliseconds: answers to short prompts differ by less than
+    their prompts do.
+*/
 constexpr auto fixedMilliseconds = 20.0;
 
-/** By how much of itself the median moves with each answer. */
+/** Relative step by which each answer moves the median. */
 constexpr auto medianStep = 0.05;
 
 auto ratioOf (Duration firstByte, double expectedTokens, double tokensEachMillisecond) -> double
--- a/modules/snowrudder_rollout/evidence/SlowAnswerDetector.h
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.h
@@ -10,19 +10,20 @@
 namespace snowrudder
 {
 
-/** Tells answers that come several times later than a route's answers do at this node. First bytes are compared for the prompt
-    that the replica was expected to read, so that replicas with empty caches are not taken for slow ones.
+/** Detects answers that come several times later than the usual answers of their route at this node. The time to the
+    first byte is compared relative to the prompt tokens that the replica was expected to process, so that replicas with
+    empty caches are not mistaken for slow ones.
 */
 class SlowAnswerDetector
 {
 public:
-    /** Notes an answer of the version in service. */
+    /** Records an answer of the version in service. */
     auto record (std::string_view route,
                Duration firstByte,
                double expectedTokens,
                double tokensEachMillisecond) -> void;
 
-    /** @returns whether an answer was slow; none is while too few were noted of the route. */
+    /** @returns whether an answer was slow; false while too few answers of the route are recorded. */
     [[nodiscard]] auto isSlow (std::string_view route,
                                Duration firstByte,
                                double expectedTokens,
--- a/modules/snowrudder_rollout/evidence/VersionVerdict.cpp
+++ b/modules/snowrudder_rollout/evidence/VersionTrial.cpp
@@ -1,4 +1,4 @@
-#include "VersionVerdict.h"
+#include "VersionTrial.h"
 
 #include <algorithm>
 #include <array>
@@ -10,25 +10,25 @@
 namespace
 {
 
-/** How many times more bad answers a bad version is taken to give. */
+/** Assumed ratios of a bad version's failure rate to that of the version in service. */
 constexpr auto failureFactors = std::array { 2.0, 5.0, 20.0 };
-/** Replicas that have just started answer a little later than others. */
+/** The same for slow answers. Larger, since replicas that have just started answer a little later than others. */
 constexpr auto slowFactors = std::array { 6.0, 20.0 };
 
-/** A version is given up beyond this, in natural logarithms: odds of one in 1,000. */
+/** Evidence, as a natural logarithm, above which a version is rolled back: odds of one in 1,000. */
 constexpr auto boundForAllRoutes = 6.9;
-/** The same for one route of many. */
+/** The same for a single one of many routes. */
 constexpr auto boundForRoute = 9.2;
 
 constexpr auto minFailed = std::uint64_t { 3 };
 
-/** What slows one answer slows all that run beside it, so that a few slow ones may be a single event. */
+/** Whatever slows one answer slows all that run beside it, so that a few slow ones may come from a single event. */
 constexpr auto minSlow = std::uint64_t { 8 };
 
-/** A replica that gives this part of its answers badly speaks against its version. */
+/** A replica with at least this fraction of bad answers counts against its version. */
 constexpr auto badAnswerShare = 0.03;
 
-/** Replicas that must speak against it: this part of those that answered, and no more than so many. */
+/** Replicas that must count against a version: this fraction of those that answered, up to a maximum number. */
 constexpr auto badReplicaShare = 0.6;
 constexpr auto maxBadReplicas = 8.0;
 
@@ -55,7 +55,7 @@
     return most + std::log (sum / static_cast<double> (Size));
 }
 
-/** @returns whether so many replicas gave bad answers that it is not a few replicas' fault. */
+/** @returns whether so many replicas gave bad answers that the version, not a few replicas, is the likely cause. */
 template <typename BadOf>
 auto isWidespread (const std::map<std::string, AnswerTally, std::less<>>& replicas, BadOf badOf) -> bool
 {
@@ -71,12 +71,14 @@
     return static_cast<double> (bad) >= std::max (least, wanted);
 }
 
-/** @returns bad answers of the replicas with the most of them, one in four: a fault of theirs says nothing of the version. */
+/** @returns the sum over the quarter of the replicas with the most bad answers, whose own faults say nothing about the
+    version.
+*/
 template <typename BadOf>
-auto tallyOfWorst (const std::map<std::string, AnswerTally, std::less<>>& replicas, BadOf badOf)
+auto worstReplicasTally (const std::map<std::string, AnswerTally, std::less<>>& replicas, BadOf badOf)
     -> AnswerTally
 {
-    constexpr auto oneIn = std::size_t { 4 };
+    constexpr auto worstDivisor = std::size_t { 4 };
     std::vector<AnswerTally> sorted;
     sorted.reserve (replicas.size());
 
@@ -84,7 +86,7 @@
         sorted.push_back (tally);
 
     std::ranges::sort (sorted, std::ranges::greater(), badOf);
-    sorted.resize (sorted.size() / oneIn);
+    sorted.resize (sorted.size() / worstDivisor);
     AnswerTally sum;
 
     for (const auto& tally : sorted)
@@ -126,12 +128,12 @@
         verdict.reason = std::string (kind) + " on " + what;
     };
 
-    auto sound = sumOf (tallies.target);
-    const auto worst = tallyOfWorst (tallies.replicas, badOf);
-    sound.answers -= std::min (sound.answers, worst.answers);
-    sound.failed -= std::min (sound.failed, worst.failed);
-    sound.slow -= std::min (sound.slow, worst.slow);
-    evaluate (sound, sumOf (tallies.others), boundForAllRoutes, "all routes");
+    auto withoutWorst = sumOf (tallies.target);
+    const auto worst = worstReplicasTally (tallies.replicas, badOf);
+    withoutWorst.answers -= std::min (withoutWorst.answers, worst.answers);
+    withoutWorst.failed -= std::min (withoutWorst.failed, worst.failed);
+    withoutWorst.slow -= std::min (withoutWorst.slow, worst.slow);
+    evaluate (withoutWorst, sumOf (tallies.others), boundForAllRoutes, "all routes");
 
     for (const auto& [route, target] : tallies.target)
         if (const auto others = tallies.others.find (route); others != tallies.others.end())
--- a/modules/snowrudder_rollout/order/Rollout.h
+++ b/modules/snowrudder_rollout/order/Rollout.h
@@ -9,20 +9,20 @@
 namespace snowrudder
 {
 
-/** How far a roll-out has come. Nodes that know different stages go by the later one. */
+/** Stage of a roll-out. Where nodes have different stages, the later one is used. */
 enum class RolloutStage : std::uint8_t
 {
     /** The new version gets a small share of the requests while its answers are judged. */
     proving,
-    /** It gets all new requests, so that the old replicas' streams end before they stop. */
+    /** The new version gets all new requests, so that the streams of the old replicas end before these stop. */
     moving,
-    /** It is the version in service. */
+    /** The new version is the version in service. */
     completed,
-    /** It gets nothing. */
+    /** The new version gets no requests. */
     rolledBack
 };
 
-/** @returns one word for the log. */
+/** @returns the name of a stage for the log. */
 inline auto toString (RolloutStage stage) -> std::string_view
 {
     switch (stage)
@@ -40,21 +40,21 @@
     return "proving";
 }
 
-/** An operators' order to move a service to another version, and where it stands. */
+/** An operator's order to move a service to another version, and its stage. */
 struct Rollout
 {
     std::string service;
     std::string targetVersion;
-    /** Rises from order to order of a service. */
+    /** Increases with each order for a service. */
     std::uint64_t number = 0;
-    /** From the order until the new version is to be in service. */
+    /** Time from the order until the new version is to be in service. */
     Duration period {};
-    /** When a node first knew of the order. */
+    /** When a node first received the order. */
     TimePoint orderedAt {};
     RolloutStage stage = RolloutStage::proving;
 };
 
-/** @returns whether the order is still being carried out. */
+/** @returns whether the roll-out is still in progress. */
 inline auto isOpen (const Rollout& rollout) -> bool
 {
     return rollout.stage == RolloutStage::proving || rollout.stage == RolloutStage::moving;
--- a/modules/snowrudder_rollout/order/RolloutSchedule.cpp
+++ b/modules/snowrudder_rollout/order/RolloutSchedule.cpp
@@ -17,7 +17,7 @@
     if (verdict.isBad)
         return RolloutStage::rolledBack;
 
-    // Nothing to compare with, and nothing to move.
+    // There is no other version to compare with or to move from.
     if (! hasOthers)
         return verdict.answers > 0 ? RolloutStage::completed : rollout.stage;
 
--- a/modules/snowrudder_rollout/order/RolloutTable.cpp
+++ b/modules/snowrudder_rollout/order/RolloutTable.cpp
@@ -5,29 +5,29 @@
 namespace snowrudder
 {
 
-auto RolloutTable::merge (const Rollout& heard) -> bool
+auto RolloutTable::merge (const Rollout& received) -> bool
 {
-    const auto [place, isNew] = rollouts.try_emplace (heard.service, heard);
-    auto& known = place->second;
+    const auto [position, isNew] = rollouts.try_emplace (received.service, received);
+    auto& known = position->second;
 
     if (isNew)
         return true;
 
-    if (heard.number < known.number)
+    if (received.number < known.number)
         return false;
 
-    if (heard.number > known.number)
+    if (received.number > known.number)
     {
-        known = heard;
+        known = received;
         return true;
     }
 
-    known.orderedAt = std::min (known.orderedAt, heard.orderedAt);
+    known.orderedAt = std::min (known.orderedAt, received.orderedAt);
 
-    if (heard.stage <= known.stage)
+    if (received.stage <= known.stage)
         return false;
 
-    known.stage = heard.stage;
+    known.stage = received.stage;
     return true;
 }
 
@@ -38,7 +38,7 @@
     if (found == rollouts.end() || found->second.number > before || ! isOpen (found->second))
         return false;
 
-    // Its replicas may still be listed, and were never proved.
+    // Its replicas may still be listed, and the version was never accepted.
     found->second.stage = RolloutStage::rolledBack;
     return true;
 }
--- a/modules/snowrudder_rollout/order/RolloutTable.h
+++ b/modules/snowrudder_rollout/order/RolloutTable.h
@@ -8,19 +8,20 @@
 namespace snowrudder
 {
 
-/** The latest order for each service, as this node knows it. */
+/** The latest order for each service that this node has received. */
 class RolloutTable
 {
 public:
-    /** Takes in an order or what another node knows of it, in any order and any number of times.
+    /** Merges an order, or a later stage of it, from the store or another node. Updates that arrive out of order or
+        twice are ignored.
 
-        @returns whether it changed anything
+        @returns whether anything changed
     */
-    auto merge (const Rollout& heard) -> bool;
+    auto merge (const Rollout& received) -> bool;
 
-    /** Forgets an order that the operators withdrew before it was decided on.
+    /** Rolls back an open roll-out whose order the operators have withdrawn.
 
-        @param before  orders with a higher number stay
+        @param before  orders with a higher number are kept
         @returns       whether there was one
     */
     auto withdraw (std::string_view service, std::uint64_t before) -> bool;
@@ -33,7 +34,7 @@
     /** @returns whether a service is being moved to another version. */
     [[nodiscard]] auto hasOpenRollout (std::string_view service) const -> bool;
 
-    /** Whether the operators' orders were read, by this node or by one that told it. */
+    /** Whether the operators' orders were read from the store, by this node or by one that it received them from. */
     bool isLoaded = false;
 
 private:
--- a/modules/snowrudder_rollout/snowrudder_rollout.h
+++ b/modules/snowrudder_rollout/snowrudder_rollout.h
@@ -1,17 +1,17 @@
 /** @file
-    snowrudder_rollout: moving a service to another version of its software.
+    snowrudder_rollout: moves a service to another version of its software.
 
-    - order/     an operators' order, where it stands, when it moves on
+    - order/     operators' orders, their stages, and when a roll-out advances
     - exposure/  which version may run a request
-    - evidence/  what answers of both versions say of the new one
+    - evidence/  judges the new version by the answers of both versions
 
-    Decisions are free functions over plain structs that read no clock. Depends on: snowrudder_core.
+    Decisions are free functions over plain structs and read no clock. Depends on: snowrudder_core.
 */
 #pragma once
 
 #include "evidence/AnswerTally.h"
 #include "evidence/SlowAnswerDetector.h"
-#include "evidence/VersionVerdict.h"
+#include "evidence/VersionTrial.h"
 #include "exposure/VersionRule.h"
 #include "order/Rollout.h"
 #include "order/RolloutSchedule.h"
--- a/modules/snowrudder_serving/capacity/CapacityPlan.cpp
+++ b/modules/snowrudder_serving/capacity/CapacityPlan.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** One in so many of a domain's replicas is never filled up with on-demand ones. */
+/** One in this many of a domain's replicas is never filled with an on-demand one. */
 constexpr auto reclaimableRoomDivisor = 5U;
 
 using Plan = std::map<std::string, DomainCapacity>;
@@ -27,14 +27,14 @@
     return domains;
 }
 
-/** @returns how many reclaimable replicas leave `needed` when one of the domains loses its own. */
+/** @returns the number of reclaimable replicas that leaves `needed` when one of the domains loses all of its own. */
 auto replicasWithSpareDomain (double needed, std::size_t domains) -> std::uint32_t
 {
     const auto others = static_cast<double> (std::max<std::size_t> (domains, 2) - 1);
     return static_cast<std::uint32_t> (std::ceil (needed * (others + 1.0) / others));
 }
 
-/** Gives replicas out one by one, to the domain with the fewest, the cheapest first among equals. */
+/** Distributes replicas one by one to the domain with the fewest, and to the cheapest of equal ones. */
 auto spreadReclaimable (Plan& plan,
              const std::vector<std::string>& domains,
              std::uint32_t count,
@@ -59,7 +59,7 @@
     return found == input.serving.end() ? DomainCapacity() : found->second;
 }
 
-/** @returns reclaimable replicas that serve, are planned to stay, and are in no domain at risk. */
+/** @returns reclaimable replicas that serve, stay in the plan, and are not in a domain at risk. */
 auto reliablyServing (Plan& plan, const CapacityInput& input) -> std::uint32_t
 {
     std::vector<std::uint32_t> byDomain;
@@ -72,33 +72,34 @@
     return std::accumulate (byDomain.begin(), byDomain.end(), std::uint32_t { 0 });
 }
 
-/** Keeps or adds on-demand replicas for what is needed and not served by reclaimable ones. */
+/** Keeps or adds on-demand replicas for the need that reclaimable ones don't cover. */
 auto addOnDemand (Plan& plan, const CapacityInput& input, const std::vector<std::string>& domains) -> void
 {
     const auto wanted = static_cast<std::uint32_t> (
         std::ceil (std::max (input.needed * input.onDemandShare, input.neededForSlots)));
-    auto served = reliablyServing (plan, input);
+    auto covered = reliablyServing (plan, input);
 
-    // Those that serve or boot already are kept before others are ordered: a new one takes its boot time.
+    // Keeps those that serve or boot before it orders others, since a new one takes the boot time.
     for (const auto& domain : domains)
     {
         const auto ordered = input.orderedOnDemand.find (domain);
-        const auto there = std::max (servingIn (input, domain).onDemand,
+        const auto existing = std::max (servingIn (input, domain).onDemand,
                                      ordered == input.orderedOnDemand.end() ? 0U : ordered->second);
-        const auto kept = std::min (there, wanted - std::min (wanted, served));
+        const auto kept = std::min (existing, wanted - std::min (wanted, covered));
         plan[domain].onDemand += kept;
-        served += kept;
+        covered += kept;
     }
 
-    // Some room is left for reclaimable ones, or they could not come back.
+    // Leaves some capacity free so that reclaimable ones can come back.
     const auto mostOnDemand = input.bounds.most - input.bounds.most / reclaimableRoomDivisor;
 
     for (const auto& domain : domains)
     {
-        // What is ordered and does not serve takes no room from what makes up for it.
+        // Only serving reclaimable replicas count here: ordered ones that don't serve must not keep out their
+        // substitutes.
         const auto reclaimable = servingIn (input, domain).reclaimable;
 
-        for (; served < wanted && plan[domain].onDemand + reclaimable < mostOnDemand; ++served)
+        for (; covered < wanted && plan[domain].onDemand + reclaimable < mostOnDemand; ++covered)
             ++plan[domain].onDemand;
     }
 }
--- a/modules/snowrudder_serving/capacity/CapacityPlan.h
+++ b/modules/snowrudder_serving/capacity/CapacityPlan.h
@@ -11,7 +11,7 @@
 namespace snowrudder
 {
 
-/** Replicas of a service in one failure domain. */
+/** Number of replicas of a service in one failure domain. */
 struct DomainCapacity
 {
     std::uint32_t onDemand = 0;
@@ -20,32 +20,34 @@
     auto operator== (const DomainCapacity&) const -> bool = default;
 };
 
-/** What a plan is made from. */
+/** Input of planCapacity(). */
 struct CapacityInput
 {
     ScalingBounds bounds;
-    /** Replicas that serve now, and are not leaving, by failure domain. */
+    /** Replicas that serve and are not leaving, by failure domain. */
     std::map<std::string, DomainCapacity> serving;
-    /** Replicas that the work measured keeps busy, with the headroom that the latency target needs. */
+    /** Replicas that the measured work occupies, including the headroom that the latency target requires. */
     double needed = 0.0;
-    /** Of what is needed, the part for which on-demand replicas are paid while reclaimable ones are not to be had. */
+    /** Fraction of `needed` for which on-demand replicas are ordered while reclaimable ones are unavailable. */
     double onDemandShare = 1.0;
-    /** Replicas that have slots for what runs; for these, too, on-demand ones are paid. */
+    /** Replicas required to have a slot for each running request; on-demand ones are ordered for all of these. */
     double neededForSlots = 0.0;
-    /** Failure domains where no more reclaimable replicas are to be had now. */
+    /** Failure domains where no more reclaimable replicas are available at present. */
     std::set<std::string> withoutReclaimable;
-    /** On-demand replicas that are ordered there; some may still boot. */
+    /** Ordered on-demand replicas, by failure domain; some may still be booting. */
     std::map<std::string, std::uint32_t> orderedOnDemand;
-    /** Failure domains, those with the most reclaimable replicas, that may lose them before on-demand ones could boot. */
+    /** Number of failure domains, those with the most reclaimable replicas, that may lose them before on-demand ones
+        can boot.
+    */
     std::size_t domainsAtRisk = 0;
 };
 
-/** Plans the replicas of a service: the cheapest mix that still has what is needed when the failure domain with the most
+/** Plans the replicas of a service: the cheapest mix that still covers the need when the failure domain with the most
     reclaimable replicas loses them all at once.
 
-    Reclaimable replicas are spread evenly over the domains; a domain where no more are to be had keeps those that serve.
-    On-demand ones make up for what does not serve yet, was taken away, or is at risk: they go as reclaimable ones come up, the
-    dearest first, and come back where too little is left.
+    Reclaimable replicas are spread evenly over the domains; a domain where no more are available keeps those that
+    serve. On-demand replicas replace those that don't serve yet, were reclaimed, or are at risk. They are released as
+    reclaimable ones start to serve, the most expensive first, and ordered again where too few are left.
 */
 auto planCapacity (const CapacityInput& input) -> std::map<std::string, DomainCapacity>;
 
--- a/modules/snowrudder_serving/capacity/WorkMeter.h
+++ b/modules/snowrudder_serving/capacity/WorkMeter.h
@@ -9,7 +9,7 @@
 namespace snowrudder
 {
 
-/** Prompt tokens a second that this node lately gave replicas to read, by service. */
+/** Measures the recent rate of prompt tokens that this node sent to replicas, by service. */
 class WorkMeter
 {
 public:
--- a/modules/snowrudder_serving/duties/CapacityLoop.cpp
+++ b/modules/snowrudder_serving/duties/CapacityLoop.cpp
@@ -1,4 +1,4 @@
-#include "../capacity/CapacityHistory.h"
+#include "../capacity/CapacityMemory.h"
 #include "../capacity/CapacityPlan.h"
 #include "DutyLoops.h"
 
@@ -8,36 +8,36 @@
 namespace
 {
 
-/** A reclaimed replica leaves 2 s after its notice, and an on-demand one serves 4 s after its order. */
+/** Planning interval. A reclaimed replica leaves 2 s after its notice, and an on-demand one serves 4 s after its order.
+*/
 constexpr auto tick = 500ms;
 
-/** The part of a replica's time that may go to prompts when first tokens are to come in time. Flat from 0.3 to 0.45 with targets
-    of 250 to 500 ms (mean worth of six days, two seeds each: 0.527, 0.524; 0.517 at 0.55).
+/** Fraction of a replica's time that prompts may take if first tokens are to meet their latency target. With targets of
+    250 to 500 ms the mean score is nearly the same from 0.3 to 0.45 (0.527 and 0.524), and lower at 0.55 (0.517).
 */
 constexpr auto targetUtilization = 0.3;
 
-/** Of the replicas' slots, the part that may be taken on average: beyond it requests of a replica that many sessions share
-    wait for a slot. Measured with 40 replicas of 16 slots, see docs/design/capacity.md.
+/** Fraction of the replicas' slots that may be occupied on average. Above it, requests to a replica that many sessions
+    share wait for a slot. Measured with 40 replicas of 16 slots, see docs/design/capacity.md.
 */
 constexpr auto targetSlotOccupancy = 0.5;
 
-/** Replicas on top, so that a small service's long prompts don't all meet its short ones. */
+/** Additional replicas, so that the long prompts of a small service don't delay all of its short ones. */
 constexpr auto spareReplicas = 1.0;
 
-/** While reclaims go on, so many failure domains more may lose their reclaimable replicas before on-demand ones boot. */
+/** Number of further failure domains that may lose their reclaimable replicas in a wave before on-demand ones boot. */
 constexpr auto domainsAtRisk = std::size_t { 2 };
 
-/** On-demand replicas cost five to seven times as much as reclaimable ones, as seen so far, so that headroom is bought with the
-    latter only: in a wave of reclaims, 13 of 19 that were needed with headroom served nobody late.
+/** Fraction of the need for which on-demand replicas are ordered. They cost five to seven times as much as reclaimable
+    ones, so headroom consists of the latter only: in a wave of reclaims, 13 of the 19 replicas needed with headroom
+    served no request late.
 */
 constexpr auto onDemandShare = 0.45;
 
-/** A holder that was seen within this was the one before: nodes that wait for the duties look at least every 8 s. */
+/** Another holder seen within this time was the predecessor: nodes that wait for the duties check at least every 8 s. */
 constexpr auto recentHolderTime = Duration (12s);
 
-/** Replicas enter themselves in the store within their first two heartbeats (1.2 s each); what is found before
-    is not all that there is.
-*/
+/** Replicas register in the store within their first two heartbeats (1.2 s each); the directory is incomplete before. */
 constexpr auto registrationTime = Duration (2500ms);
 
 auto servingOf (const ReplicaDirectory& directory, const std::string& service)
@@ -57,21 +57,23 @@
     return serving;
 }
 
-/** What a service needs for the work of all nodes, in replicas. */
+/** Replicas that a service needs for the work of all nodes. */
 struct MeasuredNeed
 {
-    /** To read prompts in time and have a slot for each request, with some to spare. */
+    /** To process prompts in time and have a slot for each request, with some to spare. */
     double all = 0.0;
     /** To have a slot for each request. */
     double forSlots = 0.0;
 };
 
-/** @returns prompt tokens that a service's replicas read a millisecond, as this node and the others learnt it. */
+/** @returns the prompt tokens that a service's replicas process per millisecond, as measured by the other nodes or this
+    one.
+*/
 auto learnedPromptSpeed (const ServingState& state, const std::string& service, TimePoint now)
     -> std::optional<double>
 {
-    const auto ofOthers = state.peers.work (service, now).promptSpeed;
-    return ofOthers ? ofOthers : state.replicas.promptSpeed (service);
+    const auto fromOthers = state.peers.work (service, now).promptSpeed;
+    return fromOthers ? fromOthers : state.replicas.promptSpeed (service);
 }
 
 /** @returns nothing before the first traffic. */
@@ -90,7 +92,7 @@
     const auto speed = learnedPromptSpeed (state, service, now);
     auto forPrompts = work.tokensPerSecond / (speed.value_or (startPromptSpeed) * thousand * targetUtilization);
 
-    // Until the speed is known, what was found there is taken as set up for it.
+    // Until the speed is known, the existing replicas are assumed to be sized for the load.
     if (! speed)
         forPrompts = std::min (forPrompts, replicas.replicas);
 
@@ -100,7 +102,7 @@
     return MeasuredNeed { std::max (forPrompts, forSlots) + spareReplicas, forSlots };
 }
 
-auto placeOrder (ServingState& state, const DutyCalls& calls, CapacityHistory& history, CapacityOrder order)
+auto placeOrder (ServingState& state, const DutyCalls& calls, CapacityMemory& memory, CapacityOrder order)
     -> Task<void>
 {
     const auto now = SteadyClock::now();
@@ -115,40 +117,40 @@
         .with ("failure_domain", order.failureDomain)
         .with ("reclaimable", order.isReclaimable ? "yes" : "no")
         .with ("replicas", order.replicas)
-        .with ("needed", history.needed[order.service])
+        .with ("needed", memory.needed[order.service])
         .with ("prompt_speed", learnedPromptSpeed (state, order.service, now).value_or (0.0))
         .with ("fence", holder.fence)
         .with ("outcome", toString (outcome))
         .info();
 
-    recordOrder (history, order, outcome, now);
+    recordOrder (memory, order, outcome, now);
 }
 
-/** Notes what serves in each failure domain, and whether reclaimable replicas were taken away. */
-auto detectReclaims (CapacityHistory& history, const std::string& service, CapacityInput& input, TimePoint now)
+/** Records the serving replicas of each failure domain and detects reclaims. */
+auto detectReclaims (CapacityMemory& memory, const std::string& service, CapacityInput& input, TimePoint now)
     -> void
 {
     for (const auto& [domain, price] : input.bounds.domainPrices)
     {
         const auto serving = input.serving[domain].reclaimable;
-        const auto before = history.lastServing[{ service, domain }];
+        const auto before = memory.lastServing[{ service, domain }];
 
-        if (recordServing (history, service, domain, serving, now))
+        if (recordServing (memory, service, domain, serving, now))
             LogLine ("reclaim_seen")
                 .with ("service", service)
                 .with ("failure_domain", domain)
                 .with ("before", before)
                 .with ("serving", serving)
-                .with ("ordered", orderedReplicas (history, service, domain, true))
+                .with ("ordered", orderedReplicas (memory, service, domain, true))
                 .info();
     }
 
-    if (isReclaimWave (history, service, now))
+    if (isReclaimWave (memory, service, now))
         input.domainsAtRisk = domainsAtRisk;
 }
 
 auto inputFor (const ServingState& state,
-               CapacityHistory& history,
+               CapacityMemory& memory,
                const UpstreamService& service,
                TimePoint now) -> CapacityInput
 {
@@ -156,62 +158,62 @@
     input.bounds = *service.scaling;
     input.serving = servingOf (state.directory, service.name);
     input.onDemandShare = onDemandShare;
-    auto found = 0.0;
+    auto existing = 0.0;
 
     for (const auto& [domain, capacity] : input.serving)
-        found += capacity.onDemand + capacity.reclaimable;
+        existing += capacity.onDemand + capacity.reclaimable;
 
     const auto measured = measureNeed (state, service.name, now);
 
-    // Whoever set up what is found knew the load; before the first traffic there is nothing else to go by.
-    if (! history.needed.contains (service.name))
-        history.needed[service.name] = found;
+    // Whoever set up the existing replicas knew the load; before the first traffic there is no other measure.
+    if (! memory.needed.contains (service.name))
+        memory.needed[service.name] = existing;
 
     if (measured)
     {
-        updateNeeded (history.needed, service.name, measured->all, tick);
-        updateNeeded (history.neededForSlots, service.name, measured->forSlots, tick);
+        updateNeeded (memory.needed, service.name, measured->all, tick);
+        updateNeeded (memory.neededForSlots, service.name, measured->forSlots, tick);
     }
 
-    input.needed = history.needed[service.name];
-    input.neededForSlots = history.neededForSlots[service.name];
+    input.needed = memory.needed[service.name];
+    input.neededForSlots = memory.neededForSlots[service.name];
 
     for (const auto& [domain, price] : input.bounds.domainPrices)
-        input.orderedOnDemand[domain] = orderedReplicas (history, service.name, domain, false);
+        input.orderedOnDemand[domain] = orderedReplicas (memory, service.name, domain, false);
 
-    detectReclaims (history, service.name, input, now);
-    input.withoutReclaimable = unavailableDomains (history, service.name, now);
+    detectReclaims (memory, service.name, input, now);
+    input.withoutReclaimable = unavailableDomains (memory, service.name, now);
     return input;
 }
 
 auto planService (ServingState& state,
                   const DutyCalls& calls,
-                  CapacityHistory& history,
+                  CapacityMemory& memory,
                   const UpstreamService& service) -> Task<void>
 {
     const auto now = SteadyClock::now();
-    auto input = inputFor (state, history, service, now);
+    auto input = inputFor (state, memory, service, now);
     const auto bootTime = input.bounds.bootTime;
 
     for (const auto& [domain, wanted] : planCapacity (input))
     {
         const auto serving = input.serving[domain];
 
-        // Reclaimable replicas first: on-demand ones are given up only when enough of the others serve.
+        // Reclaimable replicas first: on-demand ones are released only when enough of the others serve.
         CapacityOrder reclaimable { service.name, domain, true, wanted.reclaimable };
         CapacityOrder onDemand { service.name, domain, false, wanted.onDemand };
 
-        // The replicas of a new version stand beside the old ones until one of them goes.
+        // Replicas of a new version run beside the old ones until the roll-out ends.
         const auto isFall = wanted.reclaimable < serving.reclaimable || wanted.onDemand < serving.onDemand;
 
         if (isFall && state.rollouts.table.hasOpenRollout (service.name))
             continue;
 
-        if (isOrderDue (history, reclaimable, serving.reclaimable, bootTime, now))
-            co_await placeOrder (state, calls, history, std::move (reclaimable));
+        if (isOrderDue (memory, reclaimable, serving.reclaimable, bootTime, now))
+            co_await placeOrder (state, calls, memory, std::move (reclaimable));
 
-        if (isOrderDue (history, onDemand, serving.onDemand, bootTime, now))
-            co_await placeOrder (state, calls, history, std::move (onDemand));
+        if (isOrderDue (memory, onDemand, serving.onDemand, bootTime, now))
+            co_await placeOrder (state, calls, memory, std::move (onDemand));
     }
 }
 
@@ -219,7 +221,7 @@
 
 auto orderReplicas (ServingState& state, const DutyCalls& calls) -> Task<void>
 {
-    CapacityHistory history;
+    CapacityMemory memory;
     TimePoint firstSeen {};
 
     for (;;)
@@ -239,19 +241,19 @@
         if (! mayCallDuty (state.leadership, state.leadershipTimes, now))
             continue;
 
-        if (history.fence != state.leadership.fence)
+        if (memory.fence != state.leadership.fence)
         {
-            history = CapacityHistory();
-            history.fence = state.leadership.fence;
+            memory = CapacityMemory();
+            memory.fence = state.leadership.fence;
             const auto& otherHolderSeen = state.leadership.otherHolderSeen;
 
             if (otherHolderSeen && now - *otherHolderSeen < recentHolderTime)
-                history.takenOverAt = now;
+                memory.takenOverAt = now;
         }
 
         for (const auto& [name, service] : configuration->services)
             if (service.scaling)
-                co_await planService (state, calls, history, service);
+                co_await planService (state, calls, memory, service);
     }
 }
 
--- a/modules/snowrudder_serving/duties/DutyCalls.h
+++ b/modules/snowrudder_serving/duties/DutyCalls.h
@@ -10,25 +10,25 @@
 namespace snowrudder
 {
 
-/** An order of how many replicas a service should have in a failure domain. */
+/** Orders how many replicas a service should have in a failure domain. */
 struct CapacityOrder
 {
     std::string service;
     std::string failureDomain;
-    /** Whether it is for replicas that may be taken away at short notice. */
+    /** Whether the order is for replicas that may be reclaimed at short notice. */
     bool isReclaimable = false;
     std::uint32_t replicas = 0;
 };
 
-/** Who makes a call of a duty. */
+/** Identifies the node that makes a duty call. */
 struct DutyHolder
 {
     std::string node;
     std::uint64_t fence = 0;
 };
 
-/** The calls that one node makes for all. `refused` means that the platform won't do it now: for an order, that no such
-    replicas are to be had.
+/** Calls that one node makes on behalf of all. `refused` means that the platform rejects the call at present: for an
+    order, that no such replicas are available.
 */
 struct DutyCalls
 {
--- a/modules/snowrudder_serving/duties/DutyLoops.h
+++ b/modules/snowrudder_serving/duties/DutyLoops.h
@@ -8,25 +8,25 @@
 namespace snowrudder
 {
 
-/** Keys of the product's own in the state store. */
+/** Keys in the state store that belong to this product. */
 inline constexpr auto leaderKey = std::string_view ("snowrudder/leader");
 inline constexpr auto usagePrefix = std::string_view ("snowrudder/usage/");
 
-/** Competes for the duties and keeps them while this node lives and reaches the store, for ever.
+/** Competes for the duties and holds them while this node runs and reaches the store. Runs until the node leaves.
 
-    One lease and one item for all duties: the item goes with the lease, and its revision is the fence.
+    All duties share one lease and one item. The item is removed with the lease, and its revision is the fencing token.
 */
 auto keepLeadership (ServingState& state, const StateStore& store) -> Task<void>;
 
-/** Gives the duties up at a planned stop, so that a successor need not wait for the lease to run out. */
+/** Releases the duties at a planned stop, so that a successor need not wait for the lease to expire. */
 auto releaseLeadership (ServingState& state, const StateStore& store) -> Task<void>;
 
-/** Reports each window's usage while this node has the duties, for ever. A window's counts are written to the store before
-    they are reported: a successor that finds them repeats them exactly.
+/** Reports the usage of each window while this node holds the duties; never returns. The counts of a window are written
+    to the store before they are reported, so that a successor repeats the report exactly.
 */
 auto reportUsage (ServingState& state, const StateStore& store, const DutyCalls& calls) -> Task<void>;
 
-/** Orders replicas while this node has the duties, for ever; see planCapacity(). */
+/** Orders replicas while this node holds the duties; never returns. See planCapacity(). */
 auto orderReplicas (ServingState& state, const DutyCalls& calls) -> Task<void>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/Leadership.cpp
+++ b/modules/snowrudder_serving/duties/Leadership.cpp
@@ -5,17 +5,17 @@
 namespace snowrudder
 {
 
-auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
+auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint sentAt)
     -> void
 {
     if (outcome == StoreOutcome::done)
     {
-        own.leaseEnd = std::max (own.leaseEnd, asked + times.lease);
+        own.leaseEnd = std::max (own.leaseEnd, sentAt + times.lease);
         return;
     }
 
     if (outcome == StoreOutcome::refused)
-        recordLoss (own, "lease_ended", asked);
+        recordLoss (own, "lease_ended", sentAt);
 }
 
 auto recordAcquisition (Leadership& own, std::uint64_t revision) -> void
--- a/modules/snowrudder_serving/duties/Leadership.h
+++ b/modules/snowrudder_serving/duties/Leadership.h
@@ -11,64 +11,66 @@
 namespace snowrudder
 {
 
-/** What a node knows of its own hold on the duties that one node does for all. Plain decisions over the steady clock:
-    times are taken before a call is sent, so that a late answer never stretches a lease.
+/** State of this node's leadership: its hold on the duties that one node performs for all. All times are steady-clock
+    times taken before a call is sent, so that a late response never extends a lease.
 */
 struct Leadership
 {
-    /** Names this node and this start of its process. */
+    /** Identifies this node and this start of its process. */
     std::string token;
     std::uint64_t lease = 0;
-    /** Until when the lease surely runs. */
+    /** Time until which the lease is certain to be valid. */
     TimePoint leaseEnd {};
-    /** The revision at which this node took the duties; rises from holder to holder. 0 while it has none. */
+    /** Fencing token: the revision at which this node acquired the duties, rising from holder to holder. 0 while it
+        holds none.
+    */
     std::uint64_t fence = 0;
-    /** When it last held them. */
+    /** When this node last held the duties. */
     std::optional<TimePoint> lastHeld;
-    /** When another node was last known to hold them. */
+    /** When another node was last known to hold the duties. */
     std::optional<TimePoint> otherHolderSeen;
 };
 
-/** Bounds of holding. */
+/** Time limits of leadership. */
 struct LeadershipTimes
 {
-    /** Length of the lease: a dead holder is replaced after this. */
+    /** Length of the lease, after which a dead holder is replaced. */
     Duration lease = 3s;
     Duration renewal = 700ms;
-    /** Longest time that a call of a duty may take. */
+    /** Timeout of a duty call. */
     Duration call = 500ms;
-    /** Kept back for a clock that differs in speed and timers that fire late. */
+    /** Margin for clock drift and for timers that fire late. */
     Duration margin = 200ms;
-    /** A node that lost the duties leaves them to others for this long, so that holders don't alternate. */
+    /** How long a node that lost the duties leaves them to others, so that holders don't alternate. */
     Duration pause = 4s;
 };
 
-/** @returns whether a call of a duty that is sent now will have arrived before the lease can run out. */
+/** @returns whether a duty call that is sent now arrives before the lease can expire. */
 inline auto mayCallDuty (const Leadership& own, const LeadershipTimes& times, TimePoint now) -> bool
 {
     return own.fence != 0 && now + times.call + times.margin < own.leaseEnd;
 }
 
-/** @returns whether a node may try to take the duties. */
+/** @returns whether a node may try to acquire the duties. */
 inline auto mayCompete (const Leadership& own, const LeadershipTimes& times, TimePoint now) -> bool
 {
     return ! own.lastHeld || now - *own.lastHeld >= times.pause;
 }
 
-/** Notes an answer to a renewal.
+/** Records the response to a lease renewal.
 
-    @param asked  when it was sent
+    @param sentAt  when the renewal was sent
 */
-auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint asked)
+auto recordRenewal (Leadership& own, StoreOutcome outcome, const LeadershipTimes& times, TimePoint sentAt)
     -> void;
 
-/** Notes that the duties are this node's.
+/** Records that this node holds the duties.
 
-    @param revision  of the item that says so
+    @param revision  of the item that shows it
 */
 auto recordAcquisition (Leadership& own, std::uint64_t revision) -> void;
 
-/** Notes that the duties are no longer this node's. */
+/** Records that this node no longer holds the duties. */
 auto recordLoss (Leadership& own, std::string_view reason, TimePoint now) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/LeadershipLoop.cpp
+++ b/modules/snowrudder_serving/duties/LeadershipLoop.cpp
@@ -7,21 +7,21 @@
 namespace
 {
 
-/** A watch for the holder's going is renewed this often. */
+/** Longest watch for the removal of the holder's item before it is renewed. */
 constexpr auto watchTime = Duration (8s);
 constexpr auto failurePause = 300ms;
 
-/** A node that does not read the store itself, or does not know yet, leaves the duties to those that do: the other nodes'
-    work and usage come to readers. It looks this often whether it still does not.
+/** A node that is not a reader, or does not know yet whether it is one, leaves the duties to readers, because the work
+    and usage of the other nodes is reported to readers. This is how often it checks whether it has become one.
 */
 constexpr auto nonReaderPause = 1s;
 
-/** Renews the lease, and waits until it is to be renewed again. */
+/** Renews the lease, and waits until the next renewal. */
 auto renewAndWait (ServingState& state, const StateStore& store) -> Task<void>
 {
-    const auto asked = SteadyClock::now();
+    const auto sentAt = SteadyClock::now();
     const auto outcome = co_await store.renewLease (state.leadership.lease);
-    recordRenewal (state.leadership, outcome, state.leadershipTimes, asked);
+    recordRenewal (state.leadership, outcome, state.leadershipTimes, sentAt);
 
     const auto now = SteadyClock::now();
 
@@ -31,13 +31,13 @@
     co_await pauseFor (state.loop, state.leadershipTimes.renewal);
 }
 
-/** Tries to take the duties where nobody has them. */
+/** Tries to acquire the duties when no node holds them. */
 auto tryToAcquire (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
-    const auto asked = SteadyClock::now();
+    const auto sentAt = SteadyClock::now();
 
-    if (own.lease == 0 || asked >= own.leaseEnd)
+    if (own.lease == 0 || sentAt >= own.leaseEnd)
     {
         const auto granted = co_await store.grantLease (state.leadershipTimes.lease);
 
@@ -45,7 +45,7 @@
             co_return;
 
         own.lease = granted.lease;
-        own.leaseEnd = asked + std::min (granted.length, state.leadershipTimes.lease);
+        own.leaseEnd = sentAt + std::min (granted.length, state.leadershipTimes.lease);
     }
 
     auto take = makeCreation (std::string (leaderKey), own.token, own.lease);
@@ -55,7 +55,7 @@
         recordAcquisition (own, taken.revision);
 }
 
-/** Looks who has the duties; competes, or waits for a change. */
+/** Reads who holds the duties, and competes for them or waits for a change. */
 auto waitForVacancy (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
@@ -69,7 +69,7 @@
 
     const auto* holder = standingItem (read.items);
 
-    // A call of this node's own whose answer was lost took the duties.
+    // An earlier call of this node acquired the duties, and its response was lost.
     if (holder != nullptr && holder->value == own.token && holder->lease == own.lease && own.lease != 0 &&
         SteadyClock::now() < own.leaseEnd)
     {
@@ -94,7 +94,7 @@
         co_await pauseFor (state.loop, failurePause);
 }
 
-/** Gives the duties up while this node goes on. */
+/** Releases the duties while this node keeps running. */
 auto endLeadership (ServingState& state, const StateStore& store, std::string_view reason) -> Task<void>
 {
     const auto lease = state.leadership.lease;
@@ -104,7 +104,7 @@
     if (! wasHeld)
         co_return;
 
-    // A call of a duty that is on its way must arrive before a successor's first.
+    // A duty call that is under way must arrive before the successor's first.
     co_await pauseFor (state.loop, state.leadershipTimes.call);
     co_await store.endLease (lease);
 }
--- a/modules/snowrudder_serving/duties/UsageCollector.cpp
+++ b/modules/snowrudder_serving/duties/UsageCollector.cpp
@@ -74,8 +74,8 @@
         addWindow (sum, node.countsOfEarlierStarts, window);
     }
 
-    if (const auto told = domains.find (ownDomain); told != domains.end())
-        if (const auto counts = told->second.find (window); counts != told->second.end())
+    if (const auto received = domains.find (ownDomain); received != domains.end())
+        if (const auto counts = received->second.find (window); counts != received->second.end())
             mergeGreaterCounts (sum, counts->second);
 
     return sum;
@@ -121,7 +121,7 @@
 {
     std::optional<std::uint64_t> oldest;
 
-    const auto look = [&oldest] (const CountsByWindow& counts)
+    const auto updateOldest = [&oldest] (const CountsByWindow& counts)
     {
         if (! counts.empty())
             oldest = std::min (oldest.value_or (counts.begin()->first), counts.begin()->first);
@@ -129,12 +129,12 @@
 
     for (const auto& [name, node] : nodes)
     {
-        look (node.counts);
-        look (node.countsOfEarlierStarts);
+        updateOldest (node.counts);
+        updateOldest (node.countsOfEarlierStarts);
     }
 
     for (const auto& [domain, counts] : domains)
-        look (counts);
+        updateOldest (counts);
 
     return oldest;
 }
--- a/modules/snowrudder_serving/duties/UsageCollector.h
+++ b/modules/snowrudder_serving/duties/UsageCollector.h
@@ -8,20 +8,20 @@
 namespace snowrudder
 {
 
-/** What a reader gathers of the other nodes' usage: from each node of its failure domain, and from the other readers the sum
-    of theirs. Two readers of a failure domain tell of the same nodes: the greater of their counts holds, since either may
-    have missed a node's last notice. So the counts of a window come to whoever reports it over two hops, however many
-    nodes there are.
+/** Collects the usage of the other nodes at a reader: the counts of each node of its failure domain, and from the other
+    readers the sums of theirs. Two readers of a failure domain report the same nodes; the greater count is used, since
+    either reader may have missed a node's last notice. The counts of a window thus reach the node that reports it over
+    two hops, independent of the number of nodes.
 */
 class UsageCollector
 {
 public:
     explicit UsageCollector (std::string ownFailureDomain) : ownDomain (std::move (ownFailureDomain)) {}
 
-    /** Takes a notice in, in any order and any number of times. */
+    /** Records a notice. Notices that arrive out of order or twice are handled correctly. */
     auto record (const UsageNotice& notice) -> void;
 
-    /** @returns the counts of all nodes of this failure domain, as this node and its other readers know them.
+    /** @returns the counts of all nodes of this failure domain, as received by this node and the other readers in it.
 
         @param own  this node's counts
     */
@@ -40,7 +40,7 @@
     /** @returns the oldest window in which another node is known to have run. */
     [[nodiscard]] auto oldestWindow() const -> std::optional<std::uint64_t>;
 
-    /** Forgets windows before one. */
+    /** Removes the windows before a given one. */
     auto dropBefore (std::uint64_t window) -> void;
 
 private:
@@ -48,7 +48,7 @@
     {
         std::uint64_t incarnation = 0;
         CountsByWindow counts;
-        /** Of its earlier starts: a restart forgets them. */
+        /** Sums over the node's earlier starts, since a restart resets its counts. */
         CountsByWindow countsOfEarlierStarts;
     };
 
@@ -57,10 +57,10 @@
     std::map<std::string, CountsByWindow, std::less<>> domains;
 };
 
-/** Adds counts to counts. */
+/** Adds counts to a sum. */
 auto addCounts (AccountCounts& sum, const AccountCounts& more) -> void;
 
-/** Raises counts to others where those are greater. */
+/** Raises counts to those of others where these are greater. */
 auto mergeGreaterCounts (AccountCounts& counts, const AccountCounts& others) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/UsageReportLoop.cpp
+++ b/modules/snowrudder_serving/duties/UsageReportLoop.cpp
@@ -17,7 +17,7 @@
 
 constexpr auto tick = 500ms;
 
-/** Counts and records are kept for longer than anybody looks back. */
+/** How long counts and their records in the store are kept; longer than any holder looks back. */
 constexpr auto retentionTime = 2 * usageReportHorizon;
 
 auto usageKey (std::uint64_t window) -> std::string
@@ -46,9 +46,9 @@
     return counts;
 }
 
-/** Writes a window's counts down, or finds those that an earlier holder wrote.
+/** Writes the counts of a window to the store, or reads those that an earlier holder wrote.
 
-    @returns nothing when the store did not answer
+    @returns nothing if the store did not respond
 */
 auto persistCounts (ServingState& state, const StateStore& store, std::uint64_t window)
     -> Task<std::optional<AccountCounts>>
@@ -91,9 +91,9 @@
     co_return outcome;
 }
 
-/** Looks up which windows earlier holders settled.
+/** Reads the last window whose counts an earlier holder wrote to the store.
 
-    @returns whether the store answered
+    @returns whether the store responded
 */
 auto readLastPersistedWindow (UsageSchedule& schedule, const StateStore& store) -> Task<bool>
 {
@@ -148,7 +148,8 @@
             if (outcome == StoreOutcome::done)
                 schedule.reported.insert (window);
 
-            // Later windows wait: a successor takes those before the last one settled as reported.
+            // Later windows wait, since a successor assumes that all windows before the last persisted one were
+            // reported.
             if (! isAnswer (outcome))
                 break;
         }
--- a/modules/snowrudder_serving/duties/UsageSchedule.cpp
+++ b/modules/snowrudder_serving/duties/UsageSchedule.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/** How long after a window's end, or after its own start, a reader has all nodes' last counts of it: told to the readers and by
-    them to each other within 500 ms each, once more where a datagram was lost; the rest is for the ways, and for clocks that
-    differ. It does not depend on the number of nodes.
+/** Time after the end of a window, or after its own start, until a reader has the final counts of all nodes: 500 ms
+    each for the notices to the readers and those between readers, and 500 ms more to repeat a lost datagram. The rest
+    covers network latency and clock differences. Independent of the number of nodes.
 */
 constexpr auto collectionTime = 3 * Duration (usageInterval) + Duration (500ms);
 
@@ -26,12 +26,13 @@
 
     for (auto window = own.windowOf (now - usageReportHorizon); window < own.windowOf (now); ++window)
     {
-        const auto known = std::max (own.endOf (window), schedule.started) + collectionTime;
+        const auto knownFrom = std::max (own.endOf (window), schedule.started) + collectionTime;
 
-        if (now < known || schedule.reported.contains (window))
+        if (now < knownFrom || schedule.reported.contains (window))
             continue;
 
-        // Before the first start of all nodes nothing was counted, and what nobody is left to know can't be reported.
+        // Nothing was counted before the first start of all nodes, and counts that no running node has can't be
+        // reported.
         const auto isBeforeStart = own.endOf (window) <= schedule.started;
         const auto first = schedule.lastPersistedWindow ? schedule.lastPersistedWindow : oldest;
 
--- a/modules/snowrudder_serving/duties/UsageWindows.h
+++ b/modules/snowrudder_serving/duties/UsageWindows.h
@@ -9,13 +9,13 @@
 namespace snowrudder
 {
 
-/** Requests by client account. */
+/** Number of requests by client account. */
 using AccountCounts = std::map<std::string, std::uint64_t, std::less<>>;
 
-/** Requests by client account, by window. */
+/** Number of requests by window and client account. */
 using CountsByWindow = std::map<std::uint64_t, AccountCounts>;
 
-/** Requests that began to run, by client account and window of true time. Counts only grow. */
+/** Counts requests that began to run, by client account and window of true time. Counts never decrease. */
 class UsageWindows
 {
 public:
@@ -23,14 +23,14 @@
 
     /** Counts a request that began to run.
 
-        @param time  since the start of 1970, in true time as well as this node knows it
+        @param time  since the start of 1970, in this node's estimate of true time
     */
     auto record (const std::string& account, Duration time) -> void { ++windows[windowOf (time)][account]; }
 
-    /** Notes that this node runs: it tells of a window also where nothing began to run in it. */
+    /** Records that this node runs, so that it announces the current window even if no request began in it. */
     auto recordRunning (Duration time) -> void { windows.try_emplace (windowOf (time)); }
 
-    /** @returns the number of the window in which a time falls. */
+    /** @returns the number of the window that contains a time. */
     [[nodiscard]] auto windowOf (Duration time) const -> std::uint64_t
     {
         return static_cast<std::uint64_t> (time / length);
@@ -42,10 +42,10 @@
         return length * static_cast<std::int64_t> (window + 1);
     }
 
-    /** @returns this node's counts of each window that it still keeps. */
+    /** @returns this node's counts of all windows that it keeps. */
     [[nodiscard]] auto counts() const -> const CountsByWindow& { return windows; }
 
-    /** @returns this node's counts of one window; none where it counted nothing in it. */
+    /** @returns this node's counts of one window; empty if it counted nothing in it. */
     [[nodiscard]] auto countsOf (std::uint64_t window) const -> AccountCounts
     {
         const auto found = windows.find (window);
@@ -64,7 +64,7 @@
         return recent;
     }
 
-    /** Forgets windows before one. */
+    /** Removes the windows before a given one. */
     auto dropBefore (std::uint64_t window) -> void
     {
         windows.erase (windows.begin(), windows.lower_bound (window));
--- a/modules/snowrudder_serving/limits/QuotaSharing.cpp
+++ b/modules/snowrudder_serving/limits/QuotaSharing.cpp
@@ -8,13 +8,15 @@
 namespace
 {
 
-/** Until the store has listed the members, a node may be any of a large fleet that all start now. */
+/** Member count assumed until the store lists the members: any number of nodes of a large fleet may be starting
+    together.
+*/
 constexpr auto assumedMemberCount = std::size_t { 100 };
 
-/** Nodes that start together have listed each other after two lists, 2 s apart at most, and a stale one. */
+/** Nodes that start together list each other after two member lists, at most 2 s apart, plus one stale list. */
 constexpr auto startUpTime = Duration (3s);
 
-/** Of the other nodes, the part that a node must hear to know well enough what they admit: some may be gone for longer. */
+/** Fraction of the other nodes whose reports make this node settled. Less than all, since some nodes may stay down. */
 constexpr auto settledPeerShare = 0.9;
 
 auto countMembers (const QuotaSharing& sharing) -> std::size_t
@@ -77,14 +79,14 @@
 
 auto demandOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
 {
-    auto asked = peers.asked (now);
-    const auto heard = std::max<std::size_t> (peers.countHeard (now), 1);
-    const auto others = std::max (countMembers (sharing), heard + 1) - 1;
+    auto demand = peers.asked (now);
+    const auto reporting = std::max<std::size_t> (peers.countHeard (now), 1);
+    const auto others = std::max (countMembers (sharing), reporting + 1) - 1;
 
-    for (auto& [account, tokensPerSecond] : asked)
-        tokensPerSecond *= static_cast<double> (others) / static_cast<double> (heard);
+    for (auto& [account, tokensPerSecond] : demand)
+        tokensPerSecond *= static_cast<double> (others) / static_cast<double> (reporting);
 
-    return asked;
+    return demand;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/limits/QuotaSharing.h
+++ b/modules/snowrudder_serving/limits/QuotaSharing.h
@@ -7,49 +7,50 @@
 namespace snowrudder
 {
 
-/** Nodes that start together know what the others admit 100 to 400 ms after they know each other (77 nodes). A request that a
-    node's small part of the limits does not cover waits so long for that rather than be sent away for longer.
+/** How long a request waits that the small share of a starting node does not cover, instead of being refused with a
+    longer retry delay. Nodes that start together know each other's admissions 100 to 400 ms after listing each other
+    (77 nodes).
 */
 inline constexpr auto maxSettlingWait = 300ms;
 
-/** What a node knows of the others that share its limits. */
+/** State of sharing the account limits with the other nodes. */
 struct QuotaSharing
 {
     /** When this node began to admit requests. */
     TimePoint startTime {};
-    /** Nodes that the store last listed, this one included; nothing before it listed them once. */
+    /** Number of nodes in the last list from the store, this one included; empty before the first list. */
     std::optional<std::size_t> members;
-    /** Whether another node has told this one what is left of the limits. */
+    /** Whether this node has adopted the bucket levels of another node. */
     bool hasAdoptedLevels = false;
 };
 
-/** @returns whether a node started so lately that others may not know it yet, nor it them. */
+/** @returns whether this node started so recently that it and the other nodes may not have listed each other yet. */
 auto isRecentlyStarted (const QuotaSharing& sharing, TimePoint now) -> bool;
 
-/** @returns the part of the limits that a node may use: all while it hears most of the others, whose use it then counts;
-    else an even part.
+/** @returns the fraction of the limits that this node may use: 1 while it receives reports from at least half of the
+    other nodes, whose admissions it then counts; otherwise an equal share.
 */
 auto quotaShare (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> double;
 
-/** @returns for how long a node that has just started can't know yet what the others admit; zero when another node has
-    told it, when nearly all others have been heard, or when their reports must have come. 295 nodes that were all killed and
-    waited for the last admitted 64 to 79% of what kept to its limit in their first 2 s, with the others 94 to 98%, where
-    requests wait for it (virtual time).
+/** @returns how long this node, recently started, may still lack the admissions of the others. Zero once it has adopted
+    levels from another node, has received reports from nearly all others, or their reports are due. Requests wait for
+    nearly all others, not for the last one: of requests within the limit, 295 nodes restarted together admitted 64 to
+    79% in the first 2 s when waiting for the last node, and 94 to 98% this way (simulated time).
 */
 auto remainingSettlingTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration;
 
-/** @returns whether a node knows what the others admit. */
+/** @returns whether this node is settled: it has received what the other nodes admit. */
 auto isSettled (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool;
 
-/** @param draw  a random number from 0 to 1 */
+/** @param draw  random number from 0 to 1 */
 auto quotaBounds (const QuotaSharing& sharing,
                   const PeerTable& peers,
                   const QuotaTolerance& tolerance,
                   double draw,
                   TimePoint now) -> QuotaBounds;
 
-/** @returns tokens a second that the other nodes are asked for; those not heard are taken to be asked for as much as the
-    others are.
+/** @returns the demand on the other nodes, in tokens per second by account. Nodes without recent reports are assumed to
+    have the average demand of the reporting ones.
 */
 auto demandOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts;
 
--- a/modules/snowrudder_serving/limits/QuotaTolerance.h
+++ b/modules/snowrudder_serving/limits/QuotaTolerance.h
@@ -5,12 +5,12 @@
 namespace snowrudder
 {
 
-/** By how much all nodes together may go over a limit in a window that slides. */
+/** By how much all nodes together may exceed a limit within a sliding window. */
 struct QuotaTolerance
 {
     /** Tokens. */
     double slack = 0.0;
-    /** Part of what the limit allows in a window. */
+    /** Fraction of what the limit allows within a window. */
     double overshoot = 0.0;
     Duration window {};
 };
--- a/modules/snowrudder_serving/limits/SharedQuota.cpp
+++ b/modules/snowrudder_serving/limits/SharedQuota.cpp
@@ -11,51 +11,51 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Of the tokens by which all nodes may go over the limit, the part that is given out as more burst. The rest covers what
-    is admitted between two reports.
+/** Fraction of the tolerance in tokens that is added to the burst. The rest covers what is admitted between two
+    reports.
 */
 constexpr auto burstShareOfSlack = 0.2;
 
-/** Of the burst, what a node that has just started takes for left: others may have used the rest, and nodes that were all
-    killed together must not hand it out anew.
+/** Fraction of the burst that a node takes as its initial level after a start: other nodes may have used the rest, and
+    nodes that were all killed together must not grant the whole burst again.
 */
 constexpr auto initialBurstShare = 0.08;
 
-/** Of what all nodes may go over a limit in a window, the part that is handed out when they start anew: two starts within one
-    window stay within it.
+/** Fraction of the overshoot tolerance in a window that is added to the initial level, small enough that two restarts
+    of all nodes within one window stay within the tolerance.
 */
 constexpr auto initialShareOfTolerance = 0.25;
 
-/** So much of an account's rate is handed out at most while nodes that start don't know each other: the more nodes there are,
-    the later each learns what the others admitted in that time.
+/** Nodes that start without reports from each other together admit at most this much time's worth of an account's rate:
+    the more nodes there are, the later each receives what the others admitted meanwhile.
 */
 constexpr auto unsettledRateTime = 300ms;
 
-/** A bucket is nearly full above this part of its burst. */
+/** Below this fraction of its burst a bucket counts as low. */
 constexpr auto lowBucketShare = 0.7;
 
-/** What a refused caller's request needs of the bucket, at most: it is admitted as soon as the bucket is not empty. */
+/** Level from which a request is admitted, whatever its size; a larger request leaves a debt. */
 constexpr auto minLevel = 1.0;
 
-/** Rations add up to this part of the rate when the bucket is empty and when it holds its reserve: what it holds then
-    comes to rest between the two.
+/** Sum of all nodes' rations, as a multiple of the rate, when the bucket is empty and when it holds its reserve. The
+    level converges to a value between the two.
 */
 constexpr auto minRationFactor = 0.5;
 constexpr auto maxRationFactor = 1.5;
 
-/** A ration that is not used is saved up for this long. */
+/** An unused ration accumulates for this long. */
 constexpr auto maxRationBurstTime = 250ms;
 
-/** A ration, or an even part, that was not needed for so long begins anew. */
+/** A ration or equal share that was not used for this long is initialized again. */
 constexpr auto idleResetTime = 2s;
 
-/** @returns what all nodes together may hold of an account's burst. */
+/** @returns the burst of an account's bucket over all nodes, with its part of the tolerance. */
 auto burstOf (const RoutedAccount& account, const QuotaBounds& bounds) -> double
 {
     return account.burstTokens + burstShareOfSlack * bounds.tolerance.slack;
 }
 
-/** @returns what is taken for left in an account's bucket when nobody knows. */
+/** @returns the initial level of an account's bucket when the actual level is unknown. */
 auto initialLevelOf (const RoutedAccount& account, const QuotaBounds& bounds) -> double
 {
     const auto inWindow =
@@ -65,43 +65,45 @@
     return std::min (level, burstOf (account, bounds));
 }
 
-/** @returns after how long a refused caller may come back: when the account's whole limit has made up for what is missing here,
-    later where all nodes are asked for more than the limit. Another node takes the caller by then. Until a node's own part had
-    made up for it callers were told to wait up to 700 s: a small part, and the debt of one large request.
+/** @returns the retry delay for a refused caller: the time in which the account's whole limit makes up for what this
+    node lacks, scaled up when the demand on all nodes exceeds the limit. By then another node can admit the caller. The
+    time in which this node's own share makes up for it reached 700 s, with a small share and the debt of one large
+    request.
 
-    @param own              what this node may give out: the account's bucket, or its ration
+    @param bucket           what this node admits from: the account's bucket, its ration, or its equal share
     @param tokensPerSecond  the account's limit over all nodes
-    @param allAsked         tokens a second that all nodes together are asked for
+    @param totalDemand      demand on all nodes, in tokens per second
 */
-auto retryDelayOf (const TokenBucket& own, double tokensPerSecond, double allAsked) -> Duration
+auto retryDelayOf (const TokenBucket& bucket, double tokensPerSecond, double totalDemand) -> Duration
 {
-    const auto missing = minLevel - own.level;
-    const auto pressure = std::max (1.0, allAsked / tokensPerSecond);
-    const auto ofAllNodes =
-        std::chrono::duration_cast<Duration> (Seconds (missing / tokensPerSecond * pressure));
-    return std::min (timeUntil (own, minLevel), ofAllNodes);
+    const auto missing = minLevel - bucket.level;
+    const auto overload = std::max (1.0, totalDemand / tokensPerSecond);
+    const auto withWholeLimit =
+        std::chrono::duration_cast<Duration> (Seconds (missing / tokensPerSecond * overload));
+    return std::min (timeUntil (bucket, minLevel), withWholeLimit);
 }
 
 } // namespace
 
 auto SharedQuota::DecayingSum::add (double more, TimePoint now) -> void
 {
-    tokens = left (now) + more;
+    tokens = remaining (now) + more;
     at = now;
 }
 
-auto SharedQuota::DecayingSum::left (TimePoint now) const -> double
+auto SharedQuota::DecayingSum::remaining (TimePoint now) const -> double
 {
     return tokens * std::exp (-Seconds (now - at) / Seconds (averagingTime));
 }
 
-auto SharedQuota::DecayingSum::ratePerSecond (TimePoint begun, TimePoint now) const -> double
+auto SharedQuota::DecayingSum::ratePerSecond (TimePoint since, TimePoint now) const -> double
 {
-    // A sum that began lately holds less than it will: what a node is asked for just after its start would look like a third
-    // of it, and nodes that were all killed would take their buckets for full enough.
-    const auto age = std::max<Duration> (now - begun, minAveragingTime);
+    // A sum that began recently has not reached its steady value. Without this correction the demand just after a start
+    // would appear as a third of the actual one, and nodes that were all killed would take their buckets to be full
+    // enough.
+    const auto age = std::max<Duration> (now - since, minAveragingTime);
     const auto held = 1.0 - std::exp (-Seconds (age) / Seconds (averagingTime));
-    return left (now) / (Seconds (averagingTime).count() * held);
+    return remaining (now) / (Seconds (averagingTime).count() * held);
 }
 
 auto SharedQuota::admit (const RoutedAccount& account,
@@ -112,7 +114,7 @@
     auto& state = accounts[account.name];
 
     if (! bounds.isAdmissionRetry)
-        state.asked.add (tokens, now);
+        state.demand.add (tokens, now);
 
     if (account.tokensPerSecond > 0.0)
         if (const auto admission = admitLimited (state, account, tokens, bounds, now); ! admission.admitted)
@@ -145,20 +147,20 @@
                                TimePoint now) -> Admission
 {
     refillBucket (state, account, bounds, now);
-    const auto allAsked = state.asked.ratePerSecond (startTime, now) + state.demandOfOthersPerSecond;
+    const auto totalDemand = state.demand.ratePerSecond (startTime, now) + state.demandOfOthersPerSecond;
 
-    // The last request may be larger than what is left; the bucket makes up for it.
+    // The last request may exceed what is left; the bucket then refills from below zero.
     if (state.bucket.level < minLevel)
-        return { false, retryDelayOf (state.bucket, account.tokensPerSecond, allAsked) };
+        return { false, retryDelayOf (state.bucket, account.tokensPerSecond, totalDemand) };
 
-    const auto reserve = allAsked * Seconds (bounds.reportDelay).count();
+    const auto reserve = totalDemand * Seconds (bounds.reportDelay).count();
 
     if (state.bucket.level < reserve)
     {
         refillRation (state, tokens, reserve, bounds.draw, now);
 
         if (state.ration.level < minLevel)
-            return { false, retryDelayOf (state.ration, account.tokensPerSecond, allAsked) };
+            return { false, retryDelayOf (state.ration, account.tokensPerSecond, totalDemand) };
 
         state.ration.level -= tokens;
     }
@@ -176,7 +178,7 @@
     refillBucket (state, account, bounds, now);
     auto& part = state.equalShareBucket;
 
-    // It begins with its part of what all nodes had left when this one last heard them.
+    // Starts with this node's share of the last known level of the bucket.
     if (now - part.filled > idleResetTime)
     {
         part.level = state.bucket.level * bounds.share;
@@ -190,7 +192,7 @@
 
     if (part.level < minLevel)
         return { false,
-                 retryDelayOf (part, account.tokensPerSecond, state.asked.ratePerSecond (startTime, now)) };
+                 retryDelayOf (part, account.tokensPerSecond, state.demand.ratePerSecond (startTime, now)) };
 
     part.level -= tokens;
     state.bucket.level -= tokens;
@@ -203,29 +205,29 @@
                                   const QuotaBounds& bounds,
                                   TimePoint now) -> Admission
 {
-    // The ration that it keeps to once it is settled goes on from here.
-    auto& opening = state.ration;
+    // The same bucket serves as the ration once the node is settled.
+    auto& initialShare = state.ration;
 
-    if (opening.filled == TimePoint())
+    if (initialShare.filled == TimePoint())
     {
-        // Where an even part is less than one request, only some nodes admit their first. A debt that has come to rest is
-        // larger than half of a usual request, since large ones are owed for longer.
+        // Where an equal share is smaller than one request, only some of the nodes may admit their first. The debt in
+        // the steady state exceeds half of a typical request, since large requests are in debt for longer.
         constexpr auto debtOfRequest = 2.0;
-        opening.burst = burstOf (account, bounds) * bounds.equalShare;
-        opening.level =
+        initialShare.burst = burstOf (account, bounds) * bounds.equalShare;
+        initialShare.level =
             initialLevelOf (account, bounds) * bounds.equalShare - debtOfRequest * bounds.draw * tokens;
-        opening.filled = now;
+        initialShare.filled = now;
     }
 
     const auto part = std::min (1.0, Seconds (unsettledRateTime) /
                                          std::max (Seconds (bounds.reportDelay), Seconds (unsettledRateTime)));
-    opening.rate = account.tokensPerSecond * bounds.equalShare * part;
-    refill (opening, now);
+    initialShare.rate = account.tokensPerSecond * bounds.equalShare * part;
+    refill (initialShare, now);
 
-    if (opening.level < minLevel)
-        return { false, std::min (bounds.unsettled, retryDelayOf (opening, account.tokensPerSecond, 0.0)) };
+    if (initialShare.level < minLevel)
+        return { false, std::min (bounds.unsettled, retryDelayOf (initialShare, account.tokensPerSecond, 0.0)) };
 
-    opening.level -= tokens;
+    initialShare.level -= tokens;
     charge ({ { account.name, tokens } }, now);
     return { true, {} };
 }
@@ -241,7 +243,7 @@
     if (bucket.filled == TimePoint())
         bucket.filled = bounds.admissionsKnownSince.value_or (now);
 
-    // What was charged before the first request here left a debt, which has been filled up since.
+    // Charges before the first request here left a debt, part of which has been refilled since.
     if (! state.hasInitialLevel)
         bucket.level += initialLevelOf (account, bounds);
 
@@ -256,17 +258,17 @@
     -> void
 {
     auto& ration = state.ration;
-    const auto asked = state.asked.ratePerSecond (startTime, now);
+    const auto demand = state.demand.ratePerSecond (startTime, now);
 
-    const auto part = asked / (asked + state.demandOfOthersPerSecond);
+    const auto part = demand / (demand + state.demandOfOthersPerSecond);
     const auto filling = minRationFactor + (maxRationFactor - minRationFactor) * state.bucket.level / reserve;
     ration.rate = state.bucket.rate * part * filling;
     ration.burst = std::max (minLevel, ration.rate * Seconds (maxRationBurstTime).count());
 
-    // Nodes whose rations all began full would each admit a request at the same moment.
+    // If every ration started full, all nodes would admit a request at the same moment.
     if (now - ration.filled > idleResetTime)
     {
-        ration.level = (std::min (1.0, ration.rate / asked) - draw) * tokens;
+        ration.level = (std::min (1.0, ration.rate / demand) - draw) * tokens;
         ration.filled = now;
     }
 
@@ -295,18 +297,18 @@
 
         auto& state = accounts[account];
         state.hasInitialLevel = true;
-        // The other node has not heard yet what this one admitted since its start.
+        // The other node has not received yet what this one admitted since its start.
         state.bucket.level = *use.level - state.total;
         state.bucket.filled = now;
     }
 }
 
-auto SharedQuota::setDemandOfOthers (const AccountAmounts& asked) -> void
+auto SharedQuota::setDemandOfOthers (const AccountAmounts& demand) -> void
 {
     for (auto& [account, state] : accounts)
         state.demandOfOthersPerSecond = 0.0;
 
-    for (const auto& [account, amount] : asked)
+    for (const auto& [account, amount] : demand)
         accounts[account].demandOfOthersPerSecond = amount;
 }
 
@@ -327,14 +329,15 @@
 
     for (const auto& [account, state] : accounts)
     {
-        if (now - state.asked.at > idleTime)
+        if (now - state.demand.at > idleTime)
             continue;
 
         auto& use = all[account];
         use = { state.total, state.admitted.ratePerSecond (startTime, now),
-                state.asked.ratePerSecond (startTime, now), std::nullopt };
+                state.demand.ratePerSecond (startTime, now), std::nullopt };
 
-        // A bucket that was adopted and not asked since has been charged, and not filled: what it holds is no level.
+        // The bucket has a rate only after a request here. An adopted bucket without one has been charged but not
+        // refilled, so its level is meaningless.
         if (state.hasInitialLevel && state.bucket.rate > 0.0)
             use.level = levelAt (state.bucket, now);
     }
--- a/modules/snowrudder_serving/limits/SharedQuota.h
+++ b/modules/snowrudder_serving/limits/SharedQuota.h
@@ -13,38 +13,44 @@
 namespace snowrudder
 {
 
-/** What bounds a limit over all nodes beside its own rate and burst. */
+/** Parameters that bound an account's limit over all nodes, in addition to its rate and burst. */
 struct QuotaBounds
 {
     QuotaTolerance tolerance;
-    /** Part of the limit that this node may take: all of it, or an even part while it can't hear the others. */
+    /** Fraction of the limit that this node may use: 1, or an equal share while it receives too few reports from the
+        others.
+    */
     double share = 1.0;
-    /** One node's even part of the limit. */
+    /** Equal share of the limit for one node, as a fraction. */
     double equalShare = 1.0;
-    /** Until every other node has heard what this one admitted. */
+    /** Time until every other node has received what this one admitted. */
     Duration reportDelay {};
-    /** For how long this node, which has just started, can't know yet what the others admit; it keeps to its even part. */
+    /** How long this node, recently started, may still lack the admissions of the others; it keeps to its equal share
+        meanwhile.
+    */
     Duration unsettled {};
-    /** A random number from 0 to 1. */
+    /** Random number from 0 to 1. */
     double draw = 0.5;
-    /** Whether the request was refused before and counts among those asked for already. */
+    /** Whether the request was refused before, so that it is already counted in the demand. */
     bool isAdmissionRetry = false;
-    /** From when on this node knows what the others admit; until its first request an account's bucket fills from then. */
+    /** Since when this node receives the admissions of the others; until its first request an account's bucket fills
+        from then.
+    */
     std::optional<TimePoint> admissionsKnownSince {};
 };
 
-/** The limits of client accounts, in tokens a second over all nodes, without a call for each request.
+/** Enforces the limits of client accounts, in tokens per second over all nodes, without a remote call for each request.
 
-    Each node keeps a copy of each account's one bucket: it takes out what it admits at once, and what the others admitted
-    as soon as they tell. The copies differ by what was admitted within the time between two reports; a bucket that went
-    below zero by it is filled up first, so that the rate holds over any longer time.
+    Each node keeps a copy of every account's bucket. It subtracts its own admissions at once and those of the other
+    nodes when their reports arrive. The copies differ by what is admitted between two reports. A bucket that falls
+    below zero because of that refills before it admits more, so that the rate holds over any longer time.
 
-    Nodes that were all killed together know nothing of what they had admitted. Each admits its even part of the rate and of a
-    small first level from its first request on, rather than refuse all that waits for their return until they have told each
-    other.
+    Nodes that were all killed together lose what they had admitted. Until they have received each other's reports, each
+    one admits its equal share of the rate and of a small initial level, instead of refusing all callers that waited for
+    them.
 
-    While a bucket holds less than all nodes together are asked for within that time, they can't tell early enough that it
-    is empty. Each node then keeps to a ration of the account's rate, by its part of what is asked.
+    While a bucket holds less than the demand on all nodes within the report delay, reports arrive too late to show that
+    it is empty. Each node then keeps to a ration of the account's rate, in proportion to its part of the demand.
 */
 class SharedQuota
 {
@@ -52,68 +58,71 @@
     /** @param started  when this node began to admit requests */
     explicit SharedQuota (TimePoint started = {}) : startTime (started) {}
 
-    /** Counts a request in when its account's bucket is not empty.
+    /** Admits a request if its account's bucket is not empty.
 
         @param tokens  of prompt and answer together
     */
     auto admit (const RoutedAccount& account, double tokens, const QuotaBounds& bounds, TimePoint now)
         -> Admission;
 
-    /** Takes out what other nodes admitted; negative amounts are given back. */
+    /** Subtracts what other nodes admitted; negative amounts are refunded. */
     auto charge (const AccountAmounts& tokens, TimePoint now) -> void;
 
-    /** Takes over what another node believes to be left in the buckets, at the start of this one. */
+    /** Adopts another node's bucket levels when this node starts. */
     auto adopt (const AdmittedByAccount& others, TimePoint now) -> void;
 
-    /** Notes what all other nodes together are asked for, in tokens a second. */
-    auto setDemandOfOthers (const AccountAmounts& asked) -> void;
+    /** Sets the demand on all other nodes together, in tokens per second. */
+    auto setDemandOfOthers (const AccountAmounts& demand) -> void;
 
-    /** @returns whether some account has used so much of its burst that the nodes must tell each other sooner what they
-        admit. While buckets are nearly full late news change nothing.
+    /** @returns whether the bucket of some account is so low that the nodes must report their admissions more often.
+        While buckets are nearly full, late reports make no difference.
     */
     [[nodiscard]] auto hasLowBucket (TimePoint now) const -> bool;
 
     /** @returns what this node admitted, by client account.
 
-        @param idleTime  accounts that were not asked for in this time are left out
+        @param idleTime  accounts without a request within this time are left out
     */
     [[nodiscard]] auto admitted (TimePoint now, Duration idleTime = Duration::max()) const
         -> AdmittedByAccount;
 
 private:
-    /** Rates are averaged over this time: long against a request's size, short against a day's swing. */
+    /** Time over which rates are averaged: long compared with a request, short compared with the daily load curve. */
     static constexpr auto averagingTime = Duration (2s);
 
-    /** A rate is taken over this time at least: a first request alone tells of none. */
+    /** Shortest time over which a rate is computed, since a single first request gives no rate. */
     static constexpr auto minAveragingTime = Duration (200ms);
 
-    /** A sum of tokens that fades over `averagingTime`. */
+    /** Sum of tokens that decays exponentially over `averagingTime`. */
     struct DecayingSum
     {
         double tokens = 0.0;
         TimePoint at {};
 
         auto add (double more, TimePoint now) -> void;
-        [[nodiscard]] auto left (TimePoint now) const -> double;
-        /** @param begun  since when tokens were added */
-        [[nodiscard]] auto ratePerSecond (TimePoint begun, TimePoint now) const -> double;
+        [[nodiscard]] auto remaining (TimePoint now) const -> double;
+        /** @param since  when the first tokens were added */
+        [[nodiscard]] auto ratePerSecond (TimePoint since, TimePoint now) const -> double;
     };
 
     struct State
     {
         TokenBucket bucket;
-        /** Whether the bucket has its first level. */
+        /** Whether the bucket's initial level has been set. */
         bool hasInitialLevel = false;
-        /** This node's part of the rate while the bucket is nearly empty; its even part of it while the node is not settled. */
+        /** This node's part of the rate while the bucket is nearly empty; its equal share while the node is not
+            settled.
+        */
         TokenBucket ration;
-        /** This node's even part of the limit while it hears too few of the others. It stands apart from the bucket, which goes on
-            at the whole rate and is charged with what the others admitted: charged with that at the rate of its part, the bucket
-            of a node that lost its reader for a second fell a second of the whole limit into debt.
+        /** This node's equal share of the limit while it receives too few reports from the others. It is separate from
+            the bucket, which keeps the whole rate and is charged with the admissions of the others. A single bucket at
+            the share's rate with these charges accumulated one second's worth of the whole limit as debt at a node that
+            lost its reader for a second.
         */
         TokenBucket equalShareBucket;
         double total = 0.0;
         DecayingSum admitted;
-        DecayingSum asked;
+        DecayingSum demand;
         double demandOfOthersPerSecond = 0.0;
     };
 
--- a/modules/snowrudder_serving/rollout/RolloutDecider.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutDecider.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto tick = 250ms;
 
-/** Operators read one word for both stages of a roll-out that is under way. */
+/** Operators see a single state for both stages of a roll-out in progress. */
 auto publicStage (RolloutStage stage) -> RolloutStage
 {
     return stage == RolloutStage::moving ? RolloutStage::proving : stage;
@@ -23,9 +23,9 @@
            status->second.stage == publicStage (rollout.stage);
 }
 
-/** Writes where a roll-out stands, if this node still has the duties.
+/** Writes the status of a roll-out if this node still holds the duties.
 
-    @returns whether the store has it
+    @returns whether the store has accepted it
 */
 auto writeStatus (ServingState& state, const StateStore& store, const StoreFormats& formats, Rollout rollout)
     -> Task<bool>
@@ -77,7 +77,7 @@
         logVerdict (rollout, verdict, next);
         rollout.stage = next;
 
-        // The old replicas stop as soon as the store has it: until then requests may still go to them.
+        // The old replicas stop as soon as the store has the status; until then requests may still go to them.
         if (next == RolloutStage::completed && ! co_await writeStatus (state, store, formats, rollout))
             co_return;
 
--- a/modules/snowrudder_serving/rollout/RolloutFollower.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutFollower.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/** Other readers tell of what a watch that was cut off does not. */
+/** After a watch is cut off, updates that it misses arrive from other readers. */
 constexpr auto watchTime = Duration (20s);
 constexpr auto failurePause = 500ms;
 constexpr auto nonReaderPause = 1s;
@@ -31,7 +31,7 @@
 
     rollout->orderedAt = SteadyClock::now();
 
-    // What stands for an earlier order of the same version says nothing of this one.
+    // The status of an earlier order for the same version does not apply to this one.
     if (const auto status = state.rollouts.statuses.find (rollout->service);
         status != state.rollouts.statuses.end() && status->second.revision > rollout->number &&
         status->second.targetVersion == rollout->targetVersion)
--- a/modules/snowrudder_serving/rollout/RolloutLoops.h
+++ b/modules/snowrudder_serving/rollout/RolloutLoops.h
@@ -6,13 +6,14 @@
 namespace snowrudder
 {
 
-/** Keeps this node's knowledge of the operators' orders to move services to other versions, for ever, while it reads the store
-    for others; those hear of them with its other news.
+/** Follows the operators' orders to move services to other versions while this node is a reader; never returns. The
+    other nodes receive the orders with the reader's store updates.
 */
 auto followRollouts (ServingState& state, const StateStore& store, const StoreFormats& formats) -> Task<void>;
 
-/** Moves roll-outs on while this node has the duties, for ever, and writes where they stand for the operators. A version that is
-    given up gets nothing from then on, also while the store is away; one is in service only once the store has it.
+/** Advances roll-outs while this node holds the duties and writes their status for the operators; never returns. A
+    version that is rolled back gets no more requests at once, also while the store is unavailable; a version is in
+    service only once the store has the status.
 */
 auto decideRollouts (ServingState& state, const StateStore& store, const StoreFormats& formats) -> Task<void>;
 
--- a/modules/snowrudder_serving/rollout/RolloutState.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutState.cpp
@@ -5,21 +5,21 @@
 namespace snowrudder
 {
 
-auto RolloutState::merge (const Rollout& heard, std::string_view from) -> void
+auto RolloutState::merge (const Rollout& received, std::string_view from) -> void
 {
-    if (! table.merge (heard))
+    if (! table.merge (received))
         return;
 
     LogLine ("rollout_stage")
-        .with ("service", heard.service)
-        .with ("target_version", heard.targetVersion)
-        .with ("number", heard.number)
-        .with ("stage", toString (heard.stage))
-        .with ("period_milliseconds", inMilliseconds (heard.period))
+        .with ("service", received.service)
+        .with ("target_version", received.targetVersion)
+        .with ("number", received.number)
+        .with ("stage", toString (received.stage))
+        .with ("period_milliseconds", inMilliseconds (received.period))
         .with ("from", from)
         .info();
 
-    // Counts of roll-outs that are over are of no use to anybody.
+    // Counts of closed roll-outs are not needed any more.
     const auto open = openNumbers();
     std::erase_if (counts, [&open] (const auto& known) { return ! std::ranges::count (open, known.first); });
 
@@ -42,8 +42,8 @@
 {
     if (const auto* const rollout = table.find (service))
     {
-        const auto standsAlone = isOpen (*rollout) && ! hasSeenOtherVersions (*rollout);
-        return standsAlone ? VersionRule() : versionRule (rollout, draw, isFirst, exposureShare);
+        const auto isOnlyVersion = isOpen (*rollout) && ! hasSeenOtherVersions (*rollout);
+        return isOnlyVersion ? VersionRule() : versionRule (rollout, draw, isFirst, exposureShare);
     }
 
     if (table.isLoaded)
@@ -62,7 +62,8 @@
                                double speed) -> void
 {
     const auto* const rollout = table.find (replica.service);
-    // While all requests move to it, the new version's share of the answers is no longer the one that bad ones are judged by.
+    // Counted only in the stage `proving`: while all requests move to the new version, its share of the answers is no
+    // longer the one that the judgement assumes.
     const auto isCounted = rollout != nullptr && rollout->stage == RolloutStage::proving;
     const auto isTarget = rollout != nullptr && replica.version == rollout->targetVersion;
     auto quality = isFailed ? AnswerQuality::failed : AnswerQuality::good;
--- a/modules/snowrudder_serving/rollout/RolloutState.h
+++ b/modules/snowrudder_serving/rollout/RolloutState.h
@@ -14,17 +14,17 @@
 namespace snowrudder
 {
 
-/** What operators read of a roll-out. */
+/** Status of a roll-out as operators read it. */
 struct RolloutStatus
 {
     std::string service;
     std::string targetVersion;
     RolloutStage stage = RolloutStage::proving;
-    /** The store's revision of it. */
+    /** Revision of the status in the store. */
     std::uint64_t revision = 0;
 };
 
-/** What a node knows of roll-outs, and what answers of both versions it counted. Belongs to one event loop. */
+/** State of roll-outs at a node, with its counts of the answers of both versions. Belongs to one event loop. */
 class RolloutState
 {
 public:
@@ -34,13 +34,15 @@
         table.isLoaded = ! settings.followsRollouts;
     }
 
-    /** Takes in what the store or another node told; logs what is new. */
-    auto merge (const Rollout& heard, std::string_view from) -> void;
+    /** Merges a roll-out from the store or another node, and logs changes. */
+    auto merge (const Rollout& received, std::string_view from) -> void;
 
-    /** Notes which versions are listed. A version that stands alone from its order on is in service already. */
+    /** Records which versions are listed. If no other version is listed from the order on, the version is in service
+        already.
+    */
     auto recordListedVersions (const ReplicaDirectory& directory) -> void;
 
-    /** @returns whether other versions were listed beside a roll-out's, since its order was known. */
+    /** @returns whether replicas of other versions have been listed since this node received the order of a roll-out. */
     [[nodiscard]] auto hasSeenOtherVersions (const Rollout& rollout) const -> bool
     {
         return numbersWithOtherVersions.contains (rollout.number);
@@ -48,20 +50,21 @@
 
     /** @returns which replicas may run an attempt of a request.
 
-        Before this node knows what operators ordered, the version that most replicas have is taken for the one in service.
+        Until this node has received the operators' orders, the version that most replicas have is assumed to be in
+        service.
 
-        @param draw  evenly spread hash of the request
+        @param draw  evenly distributed hash of the request
     */
     [[nodiscard]] auto ruleFor (const ReplicaDirectory& directory,
                                 const std::string& service,
                                 std::uint64_t draw,
                                 bool isFirst) const -> VersionRule;
 
-    /** Counts how a first attempt ended, where its service is being moved.
+    /** Counts the result of a first attempt if its service is being moved.
 
-        @param firstByte  since it was sent; nothing where none came
-        @param tokens     that the replica was expected to read
-        @param speed      tokens that it reads a millisecond
+        @param firstByte  time to the first byte; empty if none arrived
+        @param tokens     prompt tokens that the replica was expected to process
+        @param speed      prompt tokens that it processes per millisecond
     */
     auto recordAnswer (const ReplicaInfo& replica,
                      std::string_view route,
@@ -70,13 +73,13 @@
                      double tokens,
                      double speed) -> void;
 
-    /** @returns this node's counts of roll-outs that are not decided. */
+    /** @returns this node's counts of open roll-outs. */
     [[nodiscard]] auto ownCounts() const -> CountsByWindow;
 
     /** @returns the counts of all nodes of this failure domain. */
     [[nodiscard]] auto domainCounts() const -> CountsByWindow;
 
-    /** @returns what the answers that all nodes counted say of a roll-out's version. */
+    /** @returns the verdict on a roll-out's version from the answers that all nodes counted. */
     [[nodiscard]] auto verdictFor (const Rollout& rollout) const -> VersionVerdict;
 
     RolloutTable table;
@@ -93,14 +96,14 @@
     /** By a roll-out's number. */
     CountsByWindow counts;
     UsageCollector countsOfOthers;
-    /** Numbers of roll-outs beside whose version others were listed. */
+    /** Numbers of roll-outs for which replicas of other versions were listed. */
     std::set<std::uint64_t> numbersWithOtherVersions;
 };
 
-/** @returns the version that most of a service's replicas have; empty where all have the same. */
+/** @returns the version that most of a service's replicas have; empty if all have the same. */
 auto mostCommonVersion (const ReplicaDirectory& directory, std::string_view service) -> std::string;
 
-/** @returns whether a service has replicas that are not leaving and have another version. */
+/** @returns whether a service has replicas of another version that are not leaving. */
 auto hasOtherVersions (const ReplicaDirectory& directory, std::string_view service, std::string_view version)
     -> bool;
 
--- a/tests/process/test_rollouts.py
+++ b/tests/process/test_rollouts.py
@@ -1,7 +1,7 @@
-"""Roll-outs: operators order that a service moves to another version of its software.
+"""Tests of roll-outs: operators order that a service moves to another version of its software.
 
-No code read a replica's version or such an order: replicas of a new version got their part of all requests from the moment on in
-which they were listed, so that a bad version was served to callers for as long as the operators let it stand.
+Guards against routing that ignores the versions of replicas and the operators' orders. Replicas of a new version then got their
+share of all requests as soon as they were listed, and a bad version kept serving callers until the operators removed it.
 """
 import json
 import threading
@@ -20,7 +20,7 @@
 
 
 class VersionedReplica(Replica):
-    """A replica of a version that fails some requests."""
+    """A replica of a version that fails some of its requests."""
 
     def __init__(self, port, name, is_bad):
         self.is_bad = is_bad
@@ -72,7 +72,7 @@
 
     def order(self, version="v2", period=10):
         self.platform.store.put("op/rollout/svc", {"service": "svc", "target_version": version, "period_s": period})
-        # Its replicas start beside the old ones.
+        # The replicas of the new version start beside the old ones.
         time.sleep(0.5)
         for replica in self.new:
             self.platform.store.put(f"servers/{replica.name}", replica.entry("svc", version=version))
@@ -87,7 +87,7 @@
         self.assertLess(time.monotonic() - began, seconds)
 
     def runs(self):
-        """Requests that the new version ran, and all."""
+        """Number of requests that the new version ran, and of all requests."""
         new = sum(len(replica.runs) for replica in self.new)
         return new, new + len(self.platform.runs())
 
@@ -103,7 +103,7 @@
         self.assertEqual(self.runs()[0], before)
         self.assertEqual(self.status(), {"state": "rolled_back", "target_version": "v2"})
         self.stop()
-        # What the new version failed was run again by the old one.
+        # Requests that failed on the new version were run again by the old one.
         self.assertEqual(set(self.statuses), {200})
 
     def test_a_bad_version_is_rolled_back_with_few_requests_spent_on_it(self):
--- a/tests/unit/CapacityTests.cpp
+++ b/tests/unit/CapacityTests.cpp
@@ -1,6 +1,6 @@
 #include "ServingFixtures.h"
 
-#include "snowrudder_serving/capacity/CapacityHistory.h"
+#include "snowrudder_serving/capacity/CapacityMemory.h"
 #include "snowrudder_serving/capacity/CapacityPlan.h"
 
 #include <catch2/catch.hpp>
@@ -34,7 +34,7 @@
     return total;
 }
 
-/** @param each  serves in each of the four failure domains */
+/** @param each  replicas that serve in each of the four failure domains */
 auto inputFor (double needed, DomainCapacity each = {}) -> CapacityInput
 {
     CapacityInput input;
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE ("reclaimable replicas cover what is needed though one failure domain loses its own")
+TEST_CASE ("reclaimable replicas cover the need when one failure domain loses its own")
 {
     const auto input = inputFor (6.0, { 0, 2 });
     const auto plan = planCapacity (input);
@@ -66,7 +66,7 @@
         CHECK (capacity.reclaimable == 2);
 }
 
-TEST_CASE ("on-demand replicas go only as reclaimable ones come up, the dearest first")
+TEST_CASE ("on-demand replicas are released only as reclaimable ones serve, the most expensive first")
 {
     auto input = inputFor (4.0, { 2, 0 });
     auto plan = planCapacity (input);
@@ -90,28 +90,28 @@
     CHECK (plan["b"].onDemand == 2);
 }
 
-TEST_CASE ("while reclaims go on, on-demand replicas make up for the failure domains that may go next")
+TEST_CASE ("during reclaims, on-demand replicas cover the failure domains that may be reclaimed next")
 {
     auto input = inputFor (40.0, { 0, 14 });
     input.bounds.most = 46;
     input.onDemandShare = 0.6;
     CHECK (totalOf (planCapacity (input)).onDemand == 0);
 
-    // Two domains may lose 28 of the 41 that are planned and left; 24 are wanted.
+    // Two domains may lose 28 of the 41 reclaimable replicas that are planned and serve; 24 are needed.
     input.serving["a"].reclaimable = 0;
     input.withoutReclaimable = { "a" };
     input.domainsAtRisk = 2;
     CHECK (totalOf (planCapacity (input)).onDemand == 11);
 
-    // With one domain left nothing can be counted on.
+    // With one domain left, none of its reclaimable replicas count.
     input.serving["b"].reclaimable = 0;
     input.serving["c"].reclaimable = 0;
     input.withoutReclaimable = { "a", "b", "c" };
     CHECK (totalOf (planCapacity (input)).onDemand == 24);
 }
 
-TEST_CASE ("on-demand replicas that boot stay where they were ordered, while a domain is tried again for "
-           "reclaimable ones")
+TEST_CASE ("on-demand replicas that boot stay where they were ordered while reclaimable ones are ordered "
+           "again in a domain")
 {
     auto input = inputFor (16.0);
     input.bounds.most = 20;
@@ -126,7 +126,7 @@
     CHECK (plan["b"].onDemand == 6);
 }
 
-TEST_CASE ("on-demand replicas are paid for what runs, also where the headroom's part would be less")
+TEST_CASE ("on-demand replicas cover the slots of running requests, also above their share of the need")
 {
     auto input = inputFor (10.0);
     input.onDemandShare = 0.5;
@@ -136,7 +136,7 @@
     CHECK (totalOf (planCapacity (input)).onDemand == 8);
 }
 
-TEST_CASE ("on-demand replicas leave room in each domain for reclaimable ones to come back")
+TEST_CASE ("on-demand replicas leave capacity in each domain for reclaimable ones to come back")
 {
     auto input = inputFor (60.0);
     input.bounds.most = 10;
@@ -146,7 +146,7 @@
         CHECK (capacity.onDemand == 8);
 }
 
-TEST_CASE ("orders for reclaimable replicas that are not to be had leave room for on-demand ones")
+TEST_CASE ("orders for unavailable reclaimable replicas leave capacity for on-demand ones")
 {
     auto input = inputFor (16.0);
     input.withoutReclaimable = { "a", "b", "c", "d" };
@@ -157,7 +157,7 @@
     CHECK (totalOf (plan).onDemand == 15);
 }
 
-TEST_CASE ("what is needed rises at once and falls slowly")
+TEST_CASE ("the need rises at once and falls slowly")
 {
     std::map<std::string, double> needed;
     CHECK (updateNeeded (needed, "model", 10.0, 500ms) == Approx (10.0));
@@ -167,82 +167,84 @@
     CHECK (fallen > 19.0);
 }
 
-TEST_CASE ("a failure domain that loses most of its reclaimable replicas against its order was reclaimed")
+TEST_CASE ("a failure domain that loses most of its ordered reclaimable replicas was reclaimed")
 {
-    CapacityHistory history;
-    recordOrder (history, orderFor (20), StoreOutcome::done, start);
-    CHECK_FALSE (recordServing (history, "model", "a", 0, start));
-    CHECK_FALSE (recordServing (history, "model", "a", 20, start + 5s));
-    CHECK_FALSE (recordServing (history, "model", "a", 15, start + 6s));
-    CHECK_FALSE (isReclaimWave (history, "model", start + 6s));
-    CHECK (recordServing (history, "model", "a", 3, start + 7s));
-    CHECK (unavailableDomains (history, "model", start + 7s).contains ("a"));
-    CHECK (isReclaimWave (history, "model", start + 7s));
-    CHECK_FALSE (isReclaimWave (history, "other", start + 7s));
-    CHECK_FALSE (isReclaimWave (history, "model", start + 20s));
+    CapacityMemory memory;
+    recordOrder (memory, orderFor (20), StoreOutcome::done, start);
+    CHECK_FALSE (recordServing (memory, "model", "a", 0, start));
+    CHECK_FALSE (recordServing (memory, "model", "a", 20, start + 5s));
+    CHECK_FALSE (recordServing (memory, "model", "a", 15, start + 6s));
+    CHECK_FALSE (isReclaimWave (memory, "model", start + 6s));
+    CHECK (recordServing (memory, "model", "a", 3, start + 7s));
+    CHECK (unavailableDomains (memory, "model", start + 7s).contains ("a"));
+    CHECK (isReclaimWave (memory, "model", start + 7s));
+    CHECK_FALSE (isReclaimWave (memory, "other", start + 7s));
+    CHECK_FALSE (isReclaimWave (memory, "model", start + 20s));
 }
 
-TEST_CASE ("replicas that were given up are not taken for reclaimed")
+TEST_CASE ("released replicas are not mistaken for reclaimed ones")
 {
-    CapacityHistory history;
-    recordOrder (history, orderFor (20), StoreOutcome::done, start);
-    recordServing (history, "model", "a", 20, start);
-    recordOrder (history, orderFor (2), StoreOutcome::done, start + 1s);
-    CHECK_FALSE (recordServing (history, "model", "a", 2, start + 2s));
-    CHECK_FALSE (isReclaimWave (history, "model", start + 2s));
+    CapacityMemory memory;
+    recordOrder (memory, orderFor (20), StoreOutcome::done, start);
+    recordServing (memory, "model", "a", 20, start);
+    recordOrder (memory, orderFor (2), StoreOutcome::done, start + 1s);
+    CHECK_FALSE (recordServing (memory, "model", "a", 2, start + 2s));
+    CHECK_FALSE (isReclaimWave (memory, "model", start + 2s));
 }
 
-TEST_CASE ("a refused order is a sign of a wave, stands as it was, and is not tried again at once")
+TEST_CASE ("a refused order is a sign of a reclaim wave, leaves the accepted one in force, and is not "
+           "repeated at once")
 {
-    CapacityHistory history;
-    recordOrder (history, orderFor (20), StoreOutcome::done, start);
-    recordOrder (history, orderFor (25), StoreOutcome::refused, start + 1s);
-    CHECK (isReclaimWave (history, "model", start + 1s));
-    CHECK (unavailableDomains (history, "model", start + 1s).contains ("a"));
-    CHECK (unavailableDomains (history, "model", start + 10s).empty());
-    CHECK (orderedReplicas (history, "model", "a", true) == 20);
-    CHECK (orderedReplicas (history, "model", "a", false) == 0);
+    CapacityMemory memory;
+    recordOrder (memory, orderFor (20), StoreOutcome::done, start);
+    recordOrder (memory, orderFor (25), StoreOutcome::refused, start + 1s);
+    CHECK (isReclaimWave (memory, "model", start + 1s));
+    CHECK (unavailableDomains (memory, "model", start + 1s).contains ("a"));
+    CHECK (unavailableDomains (memory, "model", start + 10s).empty());
+    CHECK (orderedReplicas (memory, "model", "a", true) == 20);
+    CHECK (orderedReplicas (memory, "model", "a", false) == 0);
 
-    // On-demand ones are to be had as a rule; a refusal of theirs tells nothing of the others.
-    CapacityHistory other;
+    // On-demand replicas are normally available; a refused order for them is no sign of reclaims.
+    CapacityMemory other;
     recordOrder (other, orderFor (5, false), StoreOutcome::refused, start);
     CHECK_FALSE (isReclaimWave (other, "model", start));
 }
 
-TEST_CASE ("an order is given for more at once, for fewer in steps, and again when what serves still differs")
+TEST_CASE ("an order is placed at once for more, in steps for fewer, and again when the serving number differs")
 {
-    CapacityHistory history;
+    CapacityMemory memory;
     constexpr auto boot = Duration (4s);
-    CHECK (isOrderDue (history, orderFor (18), 18, boot, start));
-    recordOrder (history, orderFor (18), StoreOutcome::done, start);
-    CHECK_FALSE (isOrderDue (history, orderFor (18), 18, boot, start + 20s));
-    CHECK (isOrderDue (history, orderFor (19), 18, boot, start));
-    CHECK_FALSE (isOrderDue (history, orderFor (16), 18, boot, start + 20s));
-    CHECK (isOrderDue (history, orderFor (15), 18, boot, start));
-    CHECK_FALSE (isOrderDue (history, orderFor (18), 10, boot, start + 6s));
-    CHECK (isOrderDue (history, orderFor (18), 10, boot, start + 8s));
-
-    // A small order falls by one.
-    recordOrder (history, orderFor (2), StoreOutcome::done, start);
-    CHECK (isOrderDue (history, orderFor (1), 2, boot, start));
-}
-
-TEST_CASE ("who takes the duty over takes back no replicas that boot on the orders before")
-{
-    // Reclaims go on at the peak of the load, and the store turns the holder of the duties away: another node follows. It knew of
-    // no order and ordered what its plan made of those that served: `capacity_ordered failure_domain=hall-c reclaimable=no
-    // replicas=0`, where 14 booted, and 21 again 0.6 s later, which served 4 s after that.
+    CHECK (isOrderDue (memory, orderFor (18), 18, boot, start));
+    recordOrder (memory, orderFor (18), StoreOutcome::done, start);
+    CHECK_FALSE (isOrderDue (memory, orderFor (18), 18, boot, start + 20s));
+    CHECK (isOrderDue (memory, orderFor (19), 18, boot, start));
+    CHECK_FALSE (isOrderDue (memory, orderFor (16), 18, boot, start + 20s));
+    CHECK (isOrderDue (memory, orderFor (15), 18, boot, start));
+    CHECK_FALSE (isOrderDue (memory, orderFor (18), 10, boot, start + 6s));
+    CHECK (isOrderDue (memory, orderFor (18), 10, boot, start + 8s));
+
+    // A small order is reduced by one.
+    recordOrder (memory, orderFor (2), StoreOutcome::done, start);
+    CHECK (isOrderDue (memory, orderFor (1), 2, boot, start));
+}
+
+TEST_CASE ("a new holder of the duty doesn't cancel replicas that boot on its predecessor's orders")
+{
+    // During reclaims at peak load the store rejects the holder of the duties, and another node takes over. It knows of
+    // no earlier order. Guards against ordering only what it plans from the replicas that serve: it logged
+    // `capacity_ordered failure_domain=hall-c reclaimable=no replicas=0` while 14 were booting, and ordered 21 again
+    // 0.6 s later, which served 4 s after that.
     constexpr auto bootTime = Duration (4s);
-    const auto taken = start + 20s;
-    CapacityHistory history;
-    history.takenOverAt = taken;
-
-    CHECK_FALSE (isOrderDue (history, orderFor (0, false), 0, bootTime, taken));
-    CHECK_FALSE (isOrderDue (history, orderFor (28, false), 28, bootTime, taken + 5s));
-    CHECK (isOrderDue (history, orderFor (21, false), 0, bootTime, taken + 500ms));
-    CHECK (isOrderDue (history, orderFor (0, false), 14, bootTime, taken + 6s));
-
-    // Nothing boots on orders that nobody gave.
-    history.takenOverAt.reset();
-    CHECK (isOrderDue (history, orderFor (0, false), 14, bootTime, taken));
+    const auto takeOver = start + 20s;
+    CapacityMemory memory;
+    memory.takenOverAt = takeOver;
+
+    CHECK_FALSE (isOrderDue (memory, orderFor (0, false), 0, bootTime, takeOver));
+    CHECK_FALSE (isOrderDue (memory, orderFor (28, false), 28, bootTime, takeOver + 5s));
+    CHECK (isOrderDue (memory, orderFor (21, false), 0, bootTime, takeOver + 500ms));
+    CHECK (isOrderDue (memory, orderFor (0, false), 14, bootTime, takeOver + 6s));
+
+    // Without a predecessor no replicas are booting.
+    memory.takenOverAt.reset();
+    CHECK (isOrderDue (memory, orderFor (0, false), 14, bootTime, takeOver));
 }
--- a/tests/unit/QuotaFleetTests.cpp
+++ b/tests/unit/QuotaFleetTests.cpp
@@ -17,7 +17,7 @@
 
 constexpr auto tick = 10ms;
 
-/** The window over which a limit is checked, and by how much it may be passed. */
+/** Sliding window over which a limit is checked, and its tolerance. */
 constexpr auto window = Duration (8s);
 constexpr auto overshoot = 0.1;
 constexpr auto slackTokens = 140'000.0;
@@ -26,8 +26,8 @@
 /** Two in each of six failure domains. */
 constexpr auto readers = std::size_t { 12 };
 
-/** Requests of one account at all nodes of a fleet that tell each other what they admit, in virtual time: directly, or in
-    larger fleets by way of readers.
+/** Simulates requests of one account at all nodes of a fleet in virtual time. The nodes report their admissions to each
+    other directly, or in larger fleets through readers.
 */
 class QuotaFleet
 {
@@ -39,7 +39,7 @@
             startNode (node);
     }
 
-    /** @param tokensPerSecond  that callers ask of all nodes together */
+    /** @param tokensPerSecond  demand of the callers on all nodes together */
     auto run (Duration time, double tokensPerSecond) -> void
     {
         for (const auto end = now + time; now < end; now += tick)
@@ -49,11 +49,11 @@
 
             deliver();
             retryHeldRequests();
-            ask (tokensPerSecond);
+            sendRequests (tokensPerSecond);
         }
     }
 
-    /** Kills all nodes at once: nothing that they knew is left. */
+    /** Kills and restarts all nodes at once; they lose their state. */
     auto restartAll() -> void
     {
         inFlight.clear();
@@ -63,20 +63,20 @@
             startNode (node);
     }
 
-    /** Kills one node: nothing that it knew is left. */
+    /** Kills and restarts one node; it loses its state. */
     auto restart (std::size_t index) -> void { startNode (nodes[index]); }
 
     [[nodiscard]] auto admittedTokens() const -> double { return admittedSum; }
 
-    /** @returns the longest time after which a refused caller was told to come back. */
+    /** @returns the longest retry delay that a refused caller received. */
     [[nodiscard]] auto longestRetryAfter() const -> Duration { return longestWait; }
-    /** @returns what one bucket for all nodes would have admitted. */
-    /** Of one request, in tokens. */
+    /** Largest request, in tokens. */
     static constexpr auto largestSize = 60'000.0;
 
+    /** @returns what a single bucket for all nodes admitted. */
     [[nodiscard]] auto admittedByCentral() const -> double { return centralSum; }
 
-    /** @returns the most tokens admitted in a window, less what a window may have; above zero the limit is broken. */
+    /** @returns the most tokens admitted in a window, minus what is allowed; above zero the limit is violated. */
     [[nodiscard]] auto mostOverLimit() const -> double
     {
         const auto seconds = std::chrono::duration<double> (window).count();
@@ -144,13 +144,13 @@
     auto ownReport (std::size_t index) -> PeerReport
     {
         auto& node = nodes[index];
-        PeerReport told;
-        told.node = std::to_string (index);
-        told.incarnation = node.incarnation;
-        told.sequence = ++node.sequence;
-        told.isSettled = ! isUnsettled (node);
-        told.admitted = node.quota.admitted (now);
-        return told;
+        PeerReport report;
+        report.node = std::to_string (index);
+        report.incarnation = node.incarnation;
+        report.sequence = ++node.sequence;
+        report.isSettled = ! isUnsettled (node);
+        report.admitted = node.quota.admitted (now);
+        return report;
     }
 
     auto send (std::size_t source, std::size_t target, PeerReport report) -> void
@@ -169,11 +169,11 @@
         node.peers.refreshRates (now);
         node.quota.setDemandOfOthers (demandOfOthers (node.sharing, node.peers, now));
         const auto own = role (index);
-        const auto told = makeReport (index, scopeToTell (own), {});
+        const auto sent = makeReport (index, scopeToTell (own), {});
 
         if (own == ReportRole::member)
         {
-            send (index, readerOf (index), told);
+            send (index, readerOf (index), sent);
             return;
         }
 
@@ -181,7 +181,7 @@
 
         for (auto target = std::size_t { 0 }; target < targets; ++target)
             if (target != index)
-                send (index, target, told);
+                send (index, target, sent);
     }
 
     [[nodiscard]] static auto readerOf (std::size_t index) -> std::size_t { return index % readers; }
@@ -203,27 +203,27 @@
         {
             const auto datagram = inFlight.front();
             auto& node = nodes[datagram.target];
-            const auto& told = datagram.report;
+            const auto& received = datagram.report;
 
             const auto own = role (datagram.target);
 
-            if (! isWantedReport (own, told.scope, datagram.source == readerOf (datagram.target)))
+            if (! isWantedReport (own, received.scope, datagram.source == readerOf (datagram.target)))
                 continue;
 
-            if (const auto scope = scopeToAnswer (own, told.scope, node.peers.isFirst (told)))
-                send (datagram.target, datagram.source, makeReport (datagram.target, *scope, told.node));
+            if (const auto scope = scopeToAnswer (own, received.scope, node.peers.isFirst (received)))
+                send (datagram.target, datagram.source, makeReport (datagram.target, *scope, received.node));
 
-            if (told.isSettled && isUnsettled (node))
+            if (received.isSettled && isUnsettled (node))
             {
-                node.quota.adopt (told.admitted, now);
+                node.quota.adopt (received.admitted, now);
                 node.sharing.hasAdoptedLevels = true;
             }
 
-            node.quota.charge (node.peers.note (told, now), now);
+            node.quota.charge (node.peers.note (received, now), now);
         }
     }
 
-    auto ask (double tokensPerSecond) -> void
+    auto sendRequests (double tokensPerSecond) -> void
     {
         constexpr auto meanSize = 12'000.0;
         const auto perTick = tokensPerSecond / meanSize * std::chrono::duration<double> (tick).count();
@@ -259,7 +259,7 @@
         return true;
     }
 
-    /** Requests that a node refused before it knew what the others admit, and holds until it does. */
+    /** Retries the requests that a node refused and holds until it is settled. */
     auto retryHeldRequests() -> void
     {
         std::erase_if (held,
@@ -278,7 +278,7 @@
         return ! isSettled (node.sharing, node.peers, now);
     }
 
-    /** What one bucket for all nodes would admit, the best that can be had. */
+    /** Sends a request to a single bucket for all nodes, which is the best possible result. */
     auto requestFromCentral (double size) -> void
     {
         constexpr auto minLevel = 1.0;
@@ -313,7 +313,7 @@
     return made;
 }
 
-/** Nodes of both sizes of site, and accounts from a small one to a large one. */
+/** Fleet sizes of small and large sites, and limits of small and large accounts. */
 struct QuotaCase
 {
     std::size_t nodes = 0;
@@ -338,9 +338,9 @@
         }
 }
 
-/** Lets a fleet run.
+/** Runs a fleet.
 
-    @returns the tokens that it admits in that time, as a part of what one bucket for all nodes would
+    @returns the tokens that it admits in that time, as a fraction of what a single bucket for all nodes admits
 */
 auto shareOfCentral (QuotaFleet& fleet, Duration time, double tokensPerSecond) -> double
 {
@@ -352,7 +352,7 @@
 
 } // namespace
 
-TEST_CASE ("a flood of one account stays within its limit at nodes that are all killed in it")
+TEST_CASE ("a flood of one account stays within its limit while all nodes are killed and restarted")
 {
     forEachFleet (
         [] (QuotaFleet& fleet, double rate)
@@ -369,13 +369,13 @@
 
 TEST_CASE ("nodes that were all killed together admit from their first request on")
 {
-    // Callers that kept within their limit come back all at once, to nodes that know nothing of what they had admitted.
+    // Callers within their limit return all at once to nodes that have lost what they had admitted.
     constexpr auto downTime = Duration (1500ms);
     constexpr auto returnTime = Duration (500ms);
 
     for (const auto rate : { 170'000.0, 350'000.0, 600'000.0 })
     {
-        auto admittedOfAsked = 0.0;
+        auto admittedShare = 0.0;
 
         for (auto seed = std::uint64_t { 1 }; seed <= 5; ++seed)
         {
@@ -383,19 +383,19 @@
             fleet.run (6s, 0.55 * rate);
             fleet.run (downTime, 0.0);
             fleet.restartAll();
-            admittedOfAsked += shareOfCentral (fleet, returnTime, 1.1 * rate) / 5.0;
+            admittedShare += shareOfCentral (fleet, returnTime, 1.1 * rate) / 5.0;
             fleet.run (6s, 0.55 * rate);
             CHECK (fleet.mostOverLimit() <= 0.0);
         }
 
-        INFO ("tokens a second " << rate << ", admitted " << admittedOfAsked);
-        CHECK (admittedOfAsked >= 0.6);
+        INFO ("tokens a second " << rate << ", admitted " << admittedShare);
+        CHECK (admittedShare >= 0.6);
     }
 }
 
-TEST_CASE ("nodes of a large fleet that were all killed together admit nearly all that keeps to its limit")
+TEST_CASE ("nodes of a large fleet that were all killed together admit nearly all requests within the limit")
 {
-    // An even part of what is left of a limit is less than one request where many nodes share it.
+    // With many nodes the equal share of the remaining limit is smaller than one request.
     constexpr auto downTime = Duration (1s);
     constexpr auto returnTime = Duration (2s);
 
@@ -410,7 +410,7 @@
            ReturnCase { { 77, 100'000.0 }, 0.65 }, ReturnCase { { 77, 850'000.0 }, 0.95 },
            ReturnCase { { 295, 100'000.0 }, 0.9 }, ReturnCase { { 295, 850'000.0 }, 0.9 } })
     {
-        auto admittedOfAsked = 0.0;
+        auto admittedShare = 0.0;
 
         for (auto seed = std::uint64_t { 1 }; seed <= 5; ++seed)
         {
@@ -418,18 +418,18 @@
             fleet.run (6s, 0.6 * given.tokensPerSecond);
             fleet.run (downTime, 0.0);
             fleet.restartAll();
-            admittedOfAsked += shareOfCentral (fleet, returnTime, 0.75 * given.tokensPerSecond) / 5.0;
+            admittedShare += shareOfCentral (fleet, returnTime, 0.75 * given.tokensPerSecond) / 5.0;
             fleet.run (6s, 0.6 * given.tokensPerSecond);
             CHECK (fleet.mostOverLimit() <= 0.0);
         }
 
         INFO ("nodes " << given.nodes << ", tokens a second " << given.tokensPerSecond << ", admitted "
-                       << admittedOfAsked);
-        CHECK (admittedOfAsked >= leastAdmitted);
+                       << admittedShare);
+        CHECK (admittedShare >= leastAdmitted);
     }
 }
 
-TEST_CASE ("an account that asks for more than its limit gets nearly all of it")
+TEST_CASE ("an account that demands more than its limit gets nearly all of its limit")
 {
     forEachFleet (
         [] (QuotaFleet& fleet, double rate)
@@ -440,7 +440,7 @@
         });
 }
 
-TEST_CASE ("an account that nobody used before its first requests has its whole burst")
+TEST_CASE ("an account has its whole burst at its first requests")
 {
     constexpr auto rate = 200'000.0;
     QuotaFleet fleet (83, limitOf (rate), 1);
@@ -458,12 +458,13 @@
         });
 }
 
-TEST_CASE ("a refused caller is told the time of the account's limit, not of one node's part of it")
+TEST_CASE ("the retry delay of a refused caller follows the account's limit, not one node's share of it")
 {
-    // An account asks for more than its limit while the readers that nodes report to are restarted in turn. A node's part of the
-    // limit is small then, and one large request leaves a debt that this part pays back in minutes, while another node takes
-    // the caller at once. The node told its own time: lines "refused kind=rate_limited" with retry_after_milliseconds up to
-    // 700,000, from nodes that had run for long, in the 14 s in which nodes were restarted.
+    // An account demands more than its limit while the readers that nodes report to are restarted in turn. A node's
+    // share of the limit is small then, and it pays back the debt of one large request over minutes, while another node
+    // could admit the caller at once. Guards against a retry delay computed from that share: nodes that had run for
+    // long logged "refused kind=rate_limited" with retry_after_milliseconds up to 700,000 within the 14 s of the
+    // restarts.
     forEachFleet (
         [] (QuotaFleet& fleet, double rate)
         {
@@ -476,8 +477,8 @@
                 fleet.run (1s, pressure * rate);
             }
 
-            // What the whole limit needs to pay back the largest request and all by which nodes may go over it, as many times as
-            // callers ask for more than it gives.
+            // Time in which the whole limit pays back the largest request and the full tolerance, multiplied by the
+            // ratio of demand to limit.
             const auto mostOver =
                 slackTokens + overshoot * (rate * std::chrono::duration<double> (window).count() +
                                            limitOf (rate).burstTokens);
@@ -490,10 +491,10 @@
 
 TEST_CASE ("an account that keeps to its limit is admitted while the readers are restarted in turn")
 {
-    // While its reader starts anew a node hears fewer than half of the others and keeps to an even part of each limit. It went
-    // on charging its bucket with all that the others admitted, at the rate of its own part: a debt of more than a second of
-    // the whole limit within that second (level -1,394,371 at a limit of 850,000 a second and a part of 2,881), and it refused
-    // what kept to the limit until that was paid back.
+    // While its reader restarts, a node receives reports from fewer than half of the others and keeps to an equal share
+    // of each limit. Guards against charging that share with the admissions of all others: the bucket reached a debt of
+    // more than one second of the whole limit (level -1,394,371 with a limit of 850,000 per second and a share of
+    // 2,881), and the node refused requests within the limit until the debt was paid back.
     for (const auto& [nodes, rate] : quotaCases)
     {
         auto admitted = 0.0;
--- a/tests/unit/RolloutTests.cpp
+++ b/tests/unit/RolloutTests.cpp
@@ -13,7 +13,7 @@
 
 const auto start = TimePoint() + std::chrono::hours (1);
 
-/** How a version answers on one route. */
+/** Rates of answers and of bad answers on one route. */
 struct RoutePlan
 {
     double answersPerSecond = 0.0;
@@ -21,19 +21,19 @@
     double slow = 0.0;
 };
 
-/** A roll-out that is played in virtual time. */
+/** A simulated roll-out in virtual time. */
 struct RolloutPlan
 {
     std::vector<RoutePlan> routes {
         { 68.0, 0.001, 0.02 }, { 155.0, 0.001, 0.02 }, { 153.0, 0.001, 0.02 }, { 135.0, 0.004, 0.01 }
     };
-    /** What the new version does more: on one route, or on all. */
+    /** Additional bad answers of the new version, on one route or on all. */
     double moreFailed = 0.0;
     double moreSlow = 0.0;
     std::optional<std::size_t> onRoute;
-    /** From when on, as a part of the period. */
+    /** When the version turns bad, as a fraction of the period. */
     double badFrom = 0.0;
-    /** Of all replicas, the part that fails 40% of its requests for some seconds, whatever its version. */
+    /** Fraction of all replicas that fail 40% of their requests for some seconds, whatever their version. */
     double failingReplicas = 0.0;
     std::size_t targetReplicas = 12;
     std::size_t otherReplicas = 100;
@@ -44,13 +44,13 @@
 struct RolloutResult
 {
     RolloutStage stage = RolloutStage::proving;
-    /** Requests of the new version until it was given up, and of them the bad ones. */
+    /** Requests that the new version ran before it was rolled back, and the bad ones of these. */
     std::uint64_t exposed = 0;
     std::uint64_t bad = 0;
     std::uint64_t all = 0;
 };
 
-auto play (const RolloutPlan& plan) -> RolloutResult
+auto simulate (const RolloutPlan& plan) -> RolloutResult
 {
     constexpr auto step = Duration (250ms);
     std::mt19937_64 random (plan.seed);
@@ -103,7 +103,7 @@
             }
         }
 
-        // Counts come some hundred milliseconds late, as one look at them does.
+        // Counts arrive some hundred milliseconds late, about one evaluation interval.
         rollout.stage = nextStage (rollout, judgeVersion (readTallies (counts)), true, {}, now + step);
     }
 
@@ -111,12 +111,12 @@
     return result;
 }
 
-/** Seeds of each plan; SNOWRUDDER_ROLLOUT_SEEDS asks for more. */
+/** Number of seeds for each plan; SNOWRUDDER_ROLLOUT_SEEDS overrides it. */
 auto seeds() -> unsigned
 {
     constexpr auto usual = 400U;
-    const auto* const asked = std::getenv ("SNOWRUDDER_ROLLOUT_SEEDS");
-    return asked == nullptr ? usual : static_cast<unsigned> (std::strtoul (asked, nullptr, 10));
+    const auto* const requested = std::getenv ("SNOWRUDDER_ROLLOUT_SEEDS");
+    return requested == nullptr ? usual : static_cast<unsigned> (std::strtoul (requested, nullptr, 10));
 }
 
 struct RolloutSums
@@ -127,7 +127,7 @@
     std::uint64_t mostBad = 0;
 };
 
-auto playSeeds (RolloutPlan plan) -> RolloutSums
+auto simulateSeeds (RolloutPlan plan) -> RolloutSums
 {
     constexpr auto share = 0.1;
     constexpr auto slack = 50.0;
@@ -135,7 +135,7 @@
 
     for (plan.seed = 0; plan.seed < seeds(); ++plan.seed)
     {
-        const auto result = play (plan);
+        const auto result = simulate (plan);
         sums.rolledBack += result.stage == RolloutStage::rolledBack ? 1 : 0;
         sums.completed += result.stage == RolloutStage::completed ? 1 : 0;
         sums.mostBad = std::max (sums.mostBad, result.bad);
@@ -155,33 +155,34 @@
 
 } // namespace
 
-TEST_CASE ("A good version is completed by its deadline, also while replicas of both versions are sick",
+TEST_CASE ("A good version is completed by its deadline, also while replicas of both versions fail",
            "[rollout]")
 {
     RolloutPlan plan;
     plan.targetReplicas = GENERATE (std::size_t { 4 }, std::size_t { 12 }, std::size_t { 100 });
-    // Three of four replicas are sick together in one of 100 draws of 0.14: little tells that from a bad version.
+    // At 0.14, three of four replicas fail together in one of 100 draws, which can hardly be told apart from a bad
+    // version.
     plan.failingReplicas = plan.targetReplicas == 4 ? 0.0 : GENERATE (0.14, 0.45);
-    const auto sums = playSeeds (plan);
+    const auto sums = simulateSeeds (plan);
     CAPTURE (plan.failingReplicas, plan.targetReplicas);
     CHECK (sums.rolledBack <= onePercent());
     CHECK (sums.completed + onePercent() >= seeds());
 }
 
-TEST_CASE ("A bad version is rolled back before it has had more than its share", "[rollout]")
+TEST_CASE ("A bad version is rolled back before it has run more than its share of the requests", "[rollout]")
 {
     RolloutPlan plan;
     plan.targetReplicas = GENERATE (std::size_t { 4 }, std::size_t { 100 });
 
-    SECTION ("it fails a part of its requests")
+    SECTION ("it fails some of its requests")
     {
         plan.moreFailed = GENERATE (0.1, 0.3, 1.0);
     }
-    SECTION ("it is several times slower in a part of them")
+    SECTION ("it answers some of them several times slower")
     {
         plan.moreSlow = GENERATE (0.25, 1.0);
     }
-    SECTION ("it turns bad at half of its period")
+    SECTION ("it turns bad halfway through its period")
     {
         plan.moreFailed = 0.3;
         plan.badFrom = 0.5;
@@ -191,22 +192,22 @@
         plan.moreFailed = 0.3;
         plan.onRoute = 1;
     }
-    SECTION ("it is beside sick replicas")
+    SECTION ("other replicas fail too")
     {
         plan.moreFailed = 0.3;
         plan.failingReplicas = 0.14;
     }
 
-    const auto sums = playSeeds (plan);
+    const auto sums = simulateSeeds (plan);
     CAPTURE (plan.moreFailed, plan.moreSlow, plan.badFrom, plan.targetReplicas, plan.failingReplicas,
              sums.mostBad);
     CHECK (sums.rolledBack + onePercent() >= seeds());
     CHECK (sums.overExposed <= seeds() / 1000);
 }
 
-TEST_CASE ("All nodes together keep an unproved version's share, whoever comes and goes", "[rollout]")
+TEST_CASE ("All nodes together keep to the share of a new version, whichever nodes start or stop", "[rollout]")
 {
-    // Each node decides by the request alone: it makes no difference which nodes there are, or what they know of each other.
+    // Each node decides by the request alone, independent of which nodes there are and what they have received.
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
     constexpr auto requests = 100'000;
     constexpr auto share = 0.1;
@@ -224,7 +225,7 @@
     CHECK (exposed < 0.07 * requests);
 }
 
-TEST_CASE ("A version without a comparison or without answers is not taken for good", "[rollout]")
+TEST_CASE ("A version without answers or without another version to compare with is not accepted", "[rollout]")
 {
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
     VersionVerdict verdict;
@@ -236,7 +237,7 @@
     CHECK (nextStage (rollout, verdict, false, {}, start + 1s) == RolloutStage::completed);
 }
 
-TEST_CASE ("Of two nodes' words of a roll-out the later order and the later stage hold", "[rollout]")
+TEST_CASE ("Merging roll-outs of two nodes keeps the later order and the later stage", "[rollout]")
 {
     RolloutTable table;
     Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
@@ -260,10 +261,11 @@
     CHECK (versionRule (table.find ("model"), 0, true, 0.1).kind == VersionRule::Kind::allBut);
 }
 
-TEST_CASE ("Answers while all requests move to the new version are no evidence against it", "[rollout]")
+TEST_CASE ("Answers while all requests move to the new version don't count against it", "[rollout]")
 {
-    // Beside load a good version was rolled back 250 ms after its move began: its first answers came late, as all requests opened
-    // new connections to it at once, and of the old version there were none to compare with.
+    // Guards against judging a version while all requests move to it. Under load a good version was rolled back 250 ms
+    // after the move began: its first answers were late because all requests opened new connections to it at once, and
+    // there were no answers of the old version to compare with.
     // `rollout_verdict before=moving stage=rolled_back answers=74 bad=21 evidence=9.510 reason="slow on /again/"`
     RolloutState state { ServingSettings() };
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::moving };
@@ -282,9 +284,10 @@
     CHECK (state.ownCounts().empty());
 }
 
-// A machine that was busy for a moment slowed three of the five answers that a good version had given: it was rolled back
+// Guards against rolling back on a single event: a briefly overloaded host slowed three of the five answers of a good
+// version
 // (`rollout_verdict answers=5 bad=3 evidence=7.200 reason="slow on /again/"`).
-TEST_CASE ("a few slow answers of one moment don't give a good version up, more do")
+TEST_CASE ("a few slow answers don't roll a version back, more do")
 {
     VersionTallies tallies;
     tallies.others["/again/"] = { 300, 0, 1 };
@@ -296,7 +299,7 @@
     tallies.replicas = { { "new-0", { 6, 0, 3 } }, { "new-1", { 6, 0, 3 } }, { "new-2", { 3, 0, 3 } } };
     CHECK (judgeVersion (tallies).isBad);
 
-    // Failures are a version's own.
+    // Failed answers count against the version even when there are few.
     tallies.target["/again/"] = { 5, 3, 0 };
     tallies.replicas = { { "new-0", { 2, 1, 0 } }, { "new-1", { 2, 1, 0 } }, { "new-2", { 1, 1, 0 } } };
     CHECK (judgeVersion (tallies).isBad);
--- a/tests/unit/UsageScheduleTests.cpp
+++ b/tests/unit/UsageScheduleTests.cpp
@@ -31,12 +31,12 @@
 
 } // namespace
 
-TEST_CASE ("a holder that started after a window's end reports it with what the others counted")
+TEST_CASE ("a holder that started after a window's end reports it with the counts of the others")
 {
-    // Nodes are restarted in turn, the holder of the duties among them. A window is reported two seconds after its end; whoever
-    // takes the duties in that time has been restarted after the end itself, and left out all windows from before its start. So
-    // nobody reported them. Seen as "usage of window 356670888 didn't come"; that day's logs were not read, the cause was found
-    // in the code and shown by the process test of restarts in turn.
+    // Nodes are restarted in turn, including the holder of the duties. A window is reported two seconds after its end,
+    // so the node that takes the duties over in that time may have started after the end itself. Guards against leaving
+    // out all windows from before its own start: no node reported them, and a check failed with "usage of window
+    // 356670888 didn't come". The process test that restarts the nodes in turn reproduces it.
     const UsageWindows own (windowLength);
     UsageCollector others ("hall-a");
     others.record (noticeOf (99, 7));
@@ -45,7 +45,7 @@
 
     CHECK (windowsDue (schedule, own, others, middle + 3s) == std::vector<std::uint64_t> { 99 });
 
-    // A window in which nobody counted anything after one in which somebody did is due as well.
+    // An empty window after one with counts is due as well.
     others.record (noticeOf (98, 3));
     const std::vector<std::uint64_t> both { 98, 99 };
     CHECK (windowsDue (schedule, own, others, middle + 3s) == both);
@@ -54,7 +54,7 @@
     CHECK (windowsDue (schedule, own, others, middle + 3s) == noWindows());
 }
 
-TEST_CASE ("a holder that has just started waits until the others have told it their counts")
+TEST_CASE ("a holder that has just started waits until it has received the counts of the others")
 {
     const UsageWindows own (windowLength);
     UsageCollector others ("hall-a");
@@ -78,9 +78,9 @@
 
 TEST_CASE ("a holder that started after the end of a window without requests reports it as well")
 {
-    // A holder stops before it has reported the last windows, in which nobody sent a request. Its successor, started after their
-    // end, began at the first window in which it knew of a count, so that nobody reported them: windows ..759 and ..760 were
-    // missing, in a run in which the requests before them all fell into ..758.
+    // A holder stops before it has reported the last windows, in which there were no requests, and its successor starts
+    // after their end. Guards against beginning at the first window with a known count, which left such windows
+    // unreported: windows ..759 and ..760 were missing where all requests before them fell into ..758.
     UsageNotice idle;
     idle.node = "other";
     idle.incarnation = 1;
@@ -98,9 +98,9 @@
     CHECK (windowsDue (schedule, own, others, middle + 3s) == std::vector<std::uint64_t> { 98, 99 });
 }
 
-TEST_CASE ("a holder that nobody told of the windows before it goes by what the store has of them")
+TEST_CASE ("a holder that received no counts of earlier windows uses the windows persisted in the store")
 {
-    // The holder before it stopped without knowing of this node, and told it nothing. It had settled window 98.
+    // The predecessor had persisted window 98. It stopped before it listed this node, and sent it no counts.
     const UsageWindows own (windowLength);
     const UsageCollector others ("hall-a");
     UsageSchedule schedule;
@@ -109,7 +109,7 @@
     CHECK (windowsDue (schedule, own, others, middle + 3s) == std::vector<std::uint64_t> { 98, 99 });
 }
 
-TEST_CASE ("a window is due two seconds after its end, and for twenty seconds")
+TEST_CASE ("a window is due from two to twenty seconds after its end")
 {
     const UsageWindows own (windowLength);
     const UsageCollector others ("hall-a");
