--- a/modules/snowrudder_rollout/evidence/AnswerTally.cpp
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.cpp
@@ -44,10 +44,10 @@
 } // namespace
 
 auto recordAnswer (NamedCounts& counts,
-                 bool isTarget,
-                 std::string_view route,
-                 std::string_view replica,
-                 AnswerQuality quality) -> void
+                   bool isTarget,
+                   std::string_view route,
+                   std::string_view replica,
+                   AnswerQuality quality) -> void
 {
     ++counts[countName (isTarget ? ofTarget : ofOthers, quality, route)];
 
--- a/modules/snowrudder_rollout/evidence/AnswerTally.h
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.h
@@ -46,10 +46,10 @@
     @param replica   short name of the replica
 */
 auto recordAnswer (NamedCounts& counts,
-                 bool isTarget,
-                 std::string_view route,
-                 std::string_view replica,
-                 AnswerQuality quality) -> void;
+                   bool isTarget,
+                   std::string_view route,
+                   std::string_view replica,
+                   AnswerQuality quality) -> void;
 
 /** @returns the tallies from the counts of all nodes together. Counts with unknown names are ignored. */
 auto readTallies (const NamedCounts& counts) -> VersionTallies;
--- a/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
@@ -31,9 +31,9 @@
 } // namespace
 
 auto SlowAnswerDetector::record (std::string_view route,
-                        Duration firstByte,
-                        double expectedTokens,
-                        double tokensEachMillisecond) -> void
+                                 Duration firstByte,
+                                 double expectedTokens,
+                                 double tokensEachMillisecond) -> void
 {
     const auto ratio = ratioOf (firstByte, expectedTokens, tokensEachMillisecond);
     auto& median = medians.try_emplace (std::string (route)).first->second;
@@ -44,9 +44,9 @@
 }
 
 auto SlowAnswerDetector::isSlow (std::string_view route,
-                          Duration firstByte,
-                          double expectedTokens,
-                          double tokensEachMillisecond) const -> bool
+                                 Duration firstByte,
+                                 double expectedTokens,
+                                 double tokensEachMillisecond) const -> bool
 {
     const auto found = medians.find (route);
     return found != medians.end() && found->second.count >= minAnswersForMedian &&
--- a/modules/snowrudder_rollout/evidence/SlowAnswerDetector.h
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.h
@@ -19,9 +19,9 @@
 public:
     /** Records an answer of the version in service. */
     auto record (std::string_view route,
-               Duration firstByte,
-               double expectedTokens,
-               double tokensEachMillisecond) -> void;
+                 Duration firstByte,
+                 double expectedTokens,
+                 double tokensEachMillisecond) -> void;
 
     /** @returns whether an answer was slow; false while too few answers of the route are recorded. */
     [[nodiscard]] auto isSlow (std::string_view route,
--- a/modules/snowrudder_rollout/order/RolloutSchedule.cpp
+++ b/modules/snowrudder_rollout/order/RolloutSchedule.cpp
@@ -6,10 +6,10 @@
 {
 
 auto nextStage (const Rollout& rollout,
-              const VersionVerdict& verdict,
-              bool hasOthers,
-              const RolloutTimes& times,
-              TimePoint now) -> RolloutStage
+                const VersionVerdict& verdict,
+                bool hasOthers,
+                const RolloutTimes& times,
+                TimePoint now) -> RolloutStage
 {
     if (! isOpen (rollout))
         return rollout.stage;
--- a/modules/snowrudder_rollout/order/RolloutSchedule.h
+++ b/modules/snowrudder_rollout/order/RolloutSchedule.h
@@ -29,9 +29,9 @@
     @param hasOthers  whether there are replicas of other versions; otherwise the version is in service already
 */
 auto nextStage (const Rollout& rollout,
-              const VersionVerdict& verdict,
-              bool hasOthers,
-              const RolloutTimes& times,
-              TimePoint now) -> RolloutStage;
+                const VersionVerdict& verdict,
+                bool hasOthers,
+                const RolloutTimes& times,
+                TimePoint now) -> RolloutStage;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/capacity/CapacityMemory.cpp
+++ b/modules/snowrudder_serving/capacity/CapacityMemory.cpp
@@ -38,9 +38,9 @@
 } // namespace
 
 auto updateNeeded (std::map<std::string, double>& needed,
-                 const std::string& service,
-                 double measured,
-                 Duration passed) -> double
+                   const std::string& service,
+                   double measured,
+                   Duration passed) -> double
 {
     auto& mean = needed.emplace (service, measured).first->second;
     const auto fall = std::chrono::duration<double> (passed) / std::chrono::duration<double> (needDecayTime);
@@ -49,10 +49,10 @@
 }
 
 auto recordServing (CapacityMemory& memory,
-                  const std::string& service,
-                  const std::string& domain,
-                  std::uint32_t serving,
-                  TimePoint now) -> bool
+                    const std::string& service,
+                    const std::string& domain,
+                    std::uint32_t serving,
+                    TimePoint now) -> bool
 {
     auto& previous = memory.lastServing[{ service, domain }];
     const auto isOrdered = orderedReplicas (memory, service, domain, true) > serving;
@@ -72,7 +72,8 @@
     -> void
 {
     if (outcome == StoreOutcome::done)
-        memory.acceptedOrders[{ order.service, order.failureDomain, order.isReclaimable }] = { order.replicas, now };
+        memory.acceptedOrders[{ order.service, order.failureDomain, order.isReclaimable }] = { order.replicas,
+                                                                                             now };
 
     if (outcome != StoreOutcome::refused || ! order.isReclaimable)
         return;
@@ -109,12 +110,13 @@
 }
 
 auto isOrderDue (const CapacityMemory& memory,
-            const CapacityOrder& order,
-            std::uint32_t serving,
-            Duration bootTime,
-            TimePoint now) -> bool
+                 const CapacityOrder& order,
+                 std::uint32_t serving,
+                 Duration bootTime,
+                 TimePoint now) -> bool
 {
-    const auto accepted = memory.acceptedOrders.find ({ order.service, order.failureDomain, order.isReclaimable });
+    const auto accepted =
+        memory.acceptedOrders.find ({ order.service, order.failureDomain, order.isReclaimable });
 
     const auto mayStillBoot = memory.takenOverAt && now - *memory.takenOverAt < bootTime + registrationTime;
 
@@ -124,10 +126,12 @@
     if (accepted == memory.acceptedOrders.end() || accepted->second.replicas < order.replicas)
         return true;
 
-    if (accepted->second.replicas - order.replicas >= std::max (1U, accepted->second.replicas / minReductionDivisor))
+    if (accepted->second.replicas - order.replicas >=
+        std::max (1U, accepted->second.replicas / minReductionDivisor))
         return true;
 
-    return serving != accepted->second.replicas && now - accepted->second.acceptedAt > bootTime + reorderPause;
+    return serving != accepted->second.replicas &&
+           now - accepted->second.acceptedAt > bootTime + reorderPause;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/capacity/CapacityMemory.h
+++ b/modules/snowrudder_serving/capacity/CapacityMemory.h
@@ -50,19 +50,19 @@
     @returns       replicas needed
 */
 auto updateNeeded (std::map<std::string, double>& needed,
-                 const std::string& service,
-                 double measured,
-                 Duration passed) -> double;
+                   const std::string& service,
+                   double measured,
+                   Duration passed) -> double;
 
 /** Records how many reclaimable replicas serve in a failure domain.
 
     @returns whether most of them disappeared since the last call although they are still ordered, which means a reclaim
 */
 auto recordServing (CapacityMemory& memory,
-                  const std::string& service,
-                  const std::string& domain,
-                  std::uint32_t serving,
-                  TimePoint now) -> bool;
+                    const std::string& service,
+                    const std::string& domain,
+                    std::uint32_t serving,
+                    TimePoint now) -> bool;
 
 /** Records the outcome of an order. */
 auto recordOrder (CapacityMemory& memory, const CapacityOrder& order, StoreOutcome outcome, TimePoint now)
@@ -88,9 +88,9 @@
     fewer than serve, since more may be booting on the orders of its predecessor.
 */
 auto isOrderDue (const CapacityMemory& memory,
-            const CapacityOrder& order,
-            std::uint32_t serving,
-            Duration bootTime,
-            TimePoint now) -> bool;
+                 const CapacityOrder& order,
+                 std::uint32_t serving,
+                 Duration bootTime,
+                 TimePoint now) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/capacity/CapacityPlan.cpp
+++ b/modules/snowrudder_serving/capacity/CapacityPlan.cpp
@@ -36,9 +36,9 @@
 
 /** Distributes replicas one by one to the domain with the fewest, and to the cheapest of equal ones. */
 auto spreadReclaimable (Plan& plan,
-             const std::vector<std::string>& domains,
-             std::uint32_t count,
-             const ScalingBounds& bounds) -> void
+                        const std::vector<std::string>& domains,
+                        std::uint32_t count,
+                        const ScalingBounds& bounds) -> void
 {
     for (; count > 0; --count)
     {
@@ -84,7 +84,7 @@
     {
         const auto ordered = input.orderedOnDemand.find (domain);
         const auto existing = std::max (servingIn (input, domain).onDemand,
-                                     ordered == input.orderedOnDemand.end() ? 0U : ordered->second);
+                                        ordered == input.orderedOnDemand.end() ? 0U : ordered->second);
         const auto kept = std::min (existing, wanted - std::min (wanted, covered));
         plan[domain].onDemand += kept;
         covered += kept;
--- a/modules/snowrudder_serving/duties/CapacityLoop.cpp
+++ b/modules/snowrudder_serving/duties/CapacityLoop.cpp
@@ -90,7 +90,8 @@
 
     constexpr auto thousand = 1000.0;
     const auto speed = learnedPromptSpeed (state, service, now);
-    auto forPrompts = work.tokensPerSecond / (speed.value_or (startPromptSpeed) * thousand * targetUtilization);
+    auto forPrompts =
+        work.tokensPerSecond / (speed.value_or (startPromptSpeed) * thousand * targetUtilization);
 
     // Until the speed is known, the existing replicas are assumed to be sized for the load.
     if (! speed)
--- a/modules/snowrudder_serving/duties/UsageCollector.h
+++ b/modules/snowrudder_serving/duties/UsageCollector.h
@@ -28,7 +28,8 @@
     [[nodiscard]] auto countsOfDomain (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
 
     /** @returns the counts of all nodes. */
-    [[nodiscard]] auto countsOfAllNodes (std::uint64_t window, const AccountCounts& own) const -> AccountCounts;
+    [[nodiscard]] auto countsOfAllNodes (std::uint64_t window, const AccountCounts& own) const
+        -> AccountCounts;
 
     /** @returns the counts of this failure domain in the windows that end after a time.
 
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -171,7 +171,11 @@
 
 } // namespace
 
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAdmissionRetry, TimePoint now)
+auto admit (ServingState& state,
+            CallerRequest& caller,
+            TimePoint arrived,
+            bool isAdmissionRetry,
+            TimePoint now)
     -> std::variant<RoutedRequest, Problem>
 {
     RoutedRequest request;
--- a/modules/snowrudder_serving/gateway/RoutedGateway.h
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.h
@@ -19,7 +19,11 @@
     @param arrived       what its target, its patience and its route's time count from
     @param isAdmissionRetry  whether it was refused before and has waited
 */
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAdmissionRetry, TimePoint now)
+auto admit (ServingState& state,
+            CallerRequest& caller,
+            TimePoint arrived,
+            bool isAdmissionRetry,
+            TimePoint now)
     -> std::variant<RoutedRequest, Problem>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/limits/SharedQuota.cpp
+++ b/modules/snowrudder_serving/limits/SharedQuota.cpp
@@ -170,10 +170,10 @@
 }
 
 auto SharedQuota::admitEqualShare (State& state,
-                                 const RoutedAccount& account,
-                                 double tokens,
-                                 const QuotaBounds& bounds,
-                                 TimePoint now) -> Admission
+                                   const RoutedAccount& account,
+                                   double tokens,
+                                   const QuotaBounds& bounds,
+                                   TimePoint now) -> Admission
 {
     refillBucket (state, account, bounds, now);
     auto& part = state.equalShareBucket;
@@ -219,13 +219,15 @@
         initialShare.filled = now;
     }
 
-    const auto part = std::min (1.0, Seconds (unsettledRateTime) /
-                                         std::max (Seconds (bounds.reportDelay), Seconds (unsettledRateTime)));
+    const auto part =
+        std::min (1.0, Seconds (unsettledRateTime) /
+                           std::max (Seconds (bounds.reportDelay), Seconds (unsettledRateTime)));
     initialShare.rate = account.tokensPerSecond * bounds.equalShare * part;
     refill (initialShare, now);
 
     if (initialShare.level < minLevel)
-        return { false, std::min (bounds.unsettled, retryDelayOf (initialShare, account.tokensPerSecond, 0.0)) };
+        return { false,
+                 std::min (bounds.unsettled, retryDelayOf (initialShare, account.tokensPerSecond, 0.0)) };
 
     initialShare.level -= tokens;
     charge ({ { account.name, tokens } }, now);
--- a/modules/snowrudder_serving/limits/SharedQuota.h
+++ b/modules/snowrudder_serving/limits/SharedQuota.h
@@ -137,10 +137,10 @@
                       const QuotaBounds& bounds,
                       TimePoint now) -> Admission;
     auto admitEqualShare (State& state,
-                        const RoutedAccount& account,
-                        double tokens,
-                        const QuotaBounds& bounds,
-                        TimePoint now) -> Admission;
+                          const RoutedAccount& account,
+                          double tokens,
+                          const QuotaBounds& bounds,
+                          TimePoint now) -> Admission;
     auto admitUnsettled (State& state,
                          const RoutedAccount& account,
                          double tokens,
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -401,8 +401,8 @@
     constexpr auto serverErrors = 500U;
     const auto isFailed = outcome.has_value() || call.status() >= serverErrors;
     state.rollouts.recordAnswer (ticket.info, request.route->name, isFailed, attemptFirstByte,
-                               ticket.expectedTokens,
-                               state.replicas.promptSpeed (request.service).value_or (startPromptSpeed));
+                                 ticket.expectedTokens,
+                                 state.replicas.promptSpeed (request.service).value_or (startPromptSpeed));
 }
 
 auto RoutedRun::decide (const AttemptOutcome& outcome) -> RetryDecision
--- a/modules/snowrudder_serving/rollout/RolloutState.cpp
+++ b/modules/snowrudder_serving/rollout/RolloutState.cpp
@@ -55,11 +55,11 @@
 }
 
 auto RolloutState::recordAnswer (const ReplicaInfo& replica,
-                               std::string_view route,
-                               bool isFailed,
-                               std::optional<Duration> firstByte,
-                               double tokens,
-                               double speed) -> void
+                                 std::string_view route,
+                                 bool isFailed,
+                                 std::optional<Duration> firstByte,
+                                 double tokens,
+                                 double speed) -> void
 {
     const auto* const rollout = table.find (replica.service);
     // Counted only in the stage `proving`: while all requests move to the new version, its share of the answers is no
@@ -105,7 +105,8 @@
 
 auto RolloutState::verdictFor (const Rollout& rollout) const -> VersionVerdict
 {
-    return judgeVersion (readTallies (countsOfOthers.countsOfAllNodes (rollout.number, ownCountsOf (rollout.number))));
+    return judgeVersion (
+        readTallies (countsOfOthers.countsOfAllNodes (rollout.number, ownCountsOf (rollout.number))));
 }
 
 auto RolloutState::openNumbers() const -> std::vector<std::uint64_t>
--- a/modules/snowrudder_serving/rollout/RolloutState.h
+++ b/modules/snowrudder_serving/rollout/RolloutState.h
@@ -67,11 +67,11 @@
         @param speed      prompt tokens that it processes per millisecond
     */
     auto recordAnswer (const ReplicaInfo& replica,
-                     std::string_view route,
-                     bool isFailed,
-                     std::optional<Duration> firstByte,
-                     double tokens,
-                     double speed) -> void;
+                       std::string_view route,
+                       bool isFailed,
+                       std::optional<Duration> firstByte,
+                       double tokens,
+                       double speed) -> void;
 
     /** @returns this node's counts of open roll-outs. */
     [[nodiscard]] auto ownCounts() const -> CountsByWindow;
--- a/modules/snowrudder_serving/store/StoreFollowers.cpp
+++ b/modules/snowrudder_serving/store/StoreFollowers.cpp
@@ -299,7 +299,8 @@
         // configuration; it need not watch before.
         const auto servesNobody = ! state.sharing.members || ! state.configuration.current;
 
-        if ((servesNobody && isRecentlyStarted (state.sharing, now)) || ! mustWatch (state.news, listedAt, now))
+        if ((servesNobody && isRecentlyStarted (state.sharing, now)) ||
+            ! mustWatch (state.news, listedAt, now))
         {
             co_await pauseFor (state.loop, idlePause);
             continue;
--- a/tests/unit/CapacityTests.cpp
+++ b/tests/unit/CapacityTests.cpp
@@ -210,7 +210,8 @@
     CHECK_FALSE (isReclaimWave (other, "model", start));
 }
 
-TEST_CASE ("an order is placed at once for more, in steps for fewer, and again when the serving number differs")
+TEST_CASE ("an order is placed at once for more, in steps for fewer, and again when the serving number "
+           "differs")
 {
     CapacityMemory memory;
     constexpr auto boot = Duration (4s);
--- a/tests/unit/RolloutTests.cpp
+++ b/tests/unit/RolloutTests.cpp
@@ -85,18 +85,20 @@
                 const auto isTarget = rule.kind == VersionRule::Kind::only;
                 const auto replica = random() % (isTarget ? plan.targetReplicas : plan.otherReplicas);
                 const auto isReplicaFailing =
-                    (isTarget ? isTargetFailing : isOtherFailing)[replica] && now >= failingFrom && now < failingUntil;
+                    (isTarget ? isTargetFailing : isOtherFailing)[replica] && now >= failingFrom &&
+                    now < failingUntil;
                 const auto isWorse =
                     isTarget && (! plan.onRoute || *plan.onRoute == route) &&
                     now >= start + std::chrono::duration_cast<Duration> (plan.period * plan.badFrom);
                 const auto isFailed =
-                    isDrawnBy (traits.failed + (isReplicaFailing ? 0.4 : 0.0) + (isWorse ? plan.moreFailed : 0.0));
+                    isDrawnBy (traits.failed + (isReplicaFailing ? 0.4 : 0.0) +
+                               (isWorse ? plan.moreFailed : 0.0));
                 const auto isSlow = isDrawnBy (traits.slow + (isWorse ? plan.moreSlow : 0.0));
                 const auto quality = isFailed ? AnswerQuality::failed
                                      : isSlow ? AnswerQuality::slow
                                               : AnswerQuality::good;
                 recordAnswer (counts, isTarget, "route " + std::to_string (route), std::to_string (replica),
-                            quality);
+                              quality);
                 ++result.all;
                 result.exposed += isTarget ? 1 : 0;
                 result.bad += isWorse && quality != AnswerQuality::good ? 1 : 0;
@@ -205,7 +207,8 @@
     CHECK (sums.overExposed <= seeds() / 1000);
 }
 
-TEST_CASE ("All nodes together keep to the share of a new version, whichever nodes start or stop", "[rollout]")
+TEST_CASE ("All nodes together keep to the share of a new version, whichever nodes start or stop",
+           "[rollout]")
 {
     // Each node decides by the request alone, independent of which nodes there are and what they have received.
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
@@ -225,7 +228,8 @@
     CHECK (exposed < 0.07 * requests);
 }
 
-TEST_CASE ("A version without answers or without another version to compare with is not accepted", "[rollout]")
+TEST_CASE ("A version without answers or without another version to compare with is not accepted",
+           "[rollout]")
 {
     const Rollout rollout { "model", "v2", 7, 12s, start, RolloutStage::proving };
     VersionVerdict verdict;
