--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -177,7 +177,7 @@
         makeAnswer (question, state.news, state.configuration, state.directory, state.settings.node, now);
     told.loads = state.loads.recent (now);
     told.rollouts = state.rollouts.table.all();
-    told.areRolloutsKnown = state.rollouts.table.isKnown;
+    told.areRolloutsKnown = state.rollouts.table.isLoaded;
     send (encodeMessage (told, membership.secret()), sender);
 }
 
@@ -193,7 +193,7 @@
 {
     const auto now = SteadyClock::now();
     takeLoads (answer.loads, false);
-    state.rollouts.table.isKnown = state.rollouts.table.isKnown || answer.areRolloutsKnown;
+    state.rollouts.table.isLoaded = state.rollouts.table.isLoaded || answer.areRolloutsKnown;
 
     for (const auto& rollout : answer.rollouts)
         state.rollouts.merge (rollout, answer.node);
