--- a/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
@@ -12,12 +12,12 @@
     return Ran::unknown;
 }
 
-auto metNobody (const AttemptOutcome& outcome) -> bool
+auto metStaleEntry (const AttemptOutcome& outcome) -> bool
 {
     return outcome.cause == FailureCause::connectFailed || outcome.cause == FailureCause::misdirected;
 }
 
-auto mayShowCrash (const AttemptOutcome& outcome) -> bool
+auto mayIndicateCrash (const AttemptOutcome& outcome) -> bool
 {
     const auto mayHaveBegun = outcome.stage == CallStage::sent || outcome.stage == CallStage::answering;
     return mayHaveBegun && outcome.cause == FailureCause::cut;
--- a/modules/snowrudder_requests/attempt/AttemptOutcome.h
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.h
@@ -48,10 +48,10 @@
 auto ranAfter (const AttemptOutcome& outcome) -> Ran;
 
 /** @returns whether a failed attempt met a replica that is no longer there: nothing listens at its address, or another has it. */
-auto metNobody (const AttemptOutcome& outcome) -> bool;
+auto metStaleEntry (const AttemptOutcome& outcome) -> bool;
 
 /** @returns whether a failed attempt may have failed because its replica ended: its connection ended after the request was sent. */
-auto mayShowCrash (const AttemptOutcome& outcome) -> bool;
+auto mayIndicateCrash (const AttemptOutcome& outcome) -> bool;
 
 /** @returns the kind of error that a caller is told when no other attempt follows. */
 auto kindOf (FailureCause cause) -> ErrorKind;
--- a/modules/snowrudder_requests/crashes/CrashEvidence.cpp
+++ b/modules/snowrudder_requests/crashes/CrashEvidence.cpp
@@ -9,7 +9,7 @@
 {
 
 /** Each hop adds its delay to a time that is told as an age: what moves by less is the same word again. */
-constexpr auto tellingError = Duration (1s);
+constexpr auto ageTolerance = Duration (1s);
 
 auto addCrash (std::vector<ReplicaCrash>& crashes, const ReplicaCrash& crash) -> bool
 {
@@ -25,12 +25,12 @@
 
     const auto place = std::ranges::upper_bound (crashes, crash.at, {}, &ReplicaCrash::at);
 
-    if (place == crashes.begin() && crashes.size() >= mostCrashesKept)
+    if (place == crashes.begin() && crashes.size() >= maxCrashesKept)
         return false;
 
     crashes.insert (place, crash);
 
-    if (crashes.size() > mostCrashesKept)
+    if (crashes.size() > maxCrashesKept)
         crashes.erase (crashes.begin());
 
     return true;
@@ -43,29 +43,29 @@
 
 } // namespace
 
-auto noteOpenEnd (CrashEvidence& evidence, const ReplicaCrash& end) -> bool
+auto recordUnconfirmedCrash (CrashEvidence& evidence, const ReplicaCrash& end) -> bool
 {
-    if (isAmong (evidence.crashes, end) || isAmong (evidence.openEnds, end))
+    if (isAmong (evidence.crashes, end) || isAmong (evidence.unconfirmedCrashes, end))
         return false;
 
-    evidence.openEnds.push_back (end);
-    std::ranges::sort (evidence.openEnds, {}, &ReplicaCrash::at);
+    evidence.unconfirmedCrashes.push_back (end);
+    std::ranges::sort (evidence.unconfirmedCrashes, {}, &ReplicaCrash::at);
 
-    if (evidence.openEnds.size() > mostOpenEnds)
-        evidence.openEnds.erase (evidence.openEnds.begin());
+    if (evidence.unconfirmedCrashes.size() > maxUnconfirmedCrashes)
+        evidence.unconfirmedCrashes.erase (evidence.unconfirmedCrashes.begin());
 
     return true;
 }
 
-auto standingOpenEnds (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>
+auto pendingUnconfirmedCrashes (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>
 {
-    auto standing = evidence.openEnds;
+    auto standing = evidence.unconfirmedCrashes;
     std::erase_if (standing,
                    [&] (const ReplicaCrash& end)
                    {
                        const auto isCovered =
-                           evidence.succeeded && end.at <= *evidence.succeeded + successCovers;
-                       return isCovered || now - end.at > openEndTime;
+                           evidence.lastSuccess && end.at <= *evidence.lastSuccess + successValidity;
+                       return isCovered || now - end.at > confirmationTimeout;
                    });
     return standing;
 }
@@ -75,39 +75,41 @@
     if (first.replica != second.replica)
         return false;
 
-    return (first.namesOneStart && second.namesOneStart) ||
-           std::chrono::abs (first.at - second.at) < shortestRestart;
+    return (first.identifiesIncarnation && second.identifiesIncarnation) ||
+           std::chrono::abs (first.at - second.at) < minRestartInterval;
 }
 
-auto mergeEvidence (CrashEvidence& known, const CrashEvidence& heard) -> bool
+auto mergeEvidence (CrashEvidence& known, const CrashEvidence& received) -> bool
 {
-    auto isNews = false;
+    auto isChanged = false;
 
-    for (const auto& crash : heard.crashes)
+    for (const auto& crash : received.crashes)
     {
-        isNews = addCrash (known.crashes, crash) || isNews;
-        std::erase_if (known.openEnds, [&crash] (const auto& end) { return isSameCrash (end, crash); });
+        isChanged = addCrash (known.crashes, crash) || isChanged;
+        std::erase_if (known.unconfirmedCrashes,
+                       [&crash] (const auto& end) { return isSameCrash (end, crash); });
     }
 
-    for (const auto& end : heard.openEnds)
-        isNews = noteOpenEnd (known, end) || isNews;
+    for (const auto& end : received.unconfirmedCrashes)
+        isChanged = recordUnconfirmedCrash (known, end) || isChanged;
 
-    if (heard.succeeded && (! known.succeeded || *heard.succeeded > *known.succeeded + tellingError))
+    if (received.lastSuccess &&
+        (! known.lastSuccess || *received.lastSuccess > *known.lastSuccess + ageTolerance))
     {
-        known.succeeded = heard.succeeded;
-        isNews = true;
+        known.lastSuccess = received.lastSuccess;
+        isChanged = true;
     }
 
-    known.lastSeen = std::max (known.lastSeen, heard.lastSeen);
-    return isNews;
+    known.lastSeen = std::max (known.lastSeen, received.lastSeen);
+    return isChanged;
 }
 
-auto standingCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
+auto unrefutedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
 {
     auto standing = evidence.crashes;
 
-    if (evidence.succeeded)
-        std::erase_if (standing, [covered = *evidence.succeeded + successCovers] (const auto& crash)
+    if (evidence.lastSuccess)
+        std::erase_if (standing, [covered = *evidence.lastSuccess + successValidity] (const auto& crash)
                        { return crash.at <= covered; });
 
     return standing;
@@ -117,8 +119,8 @@
 {
     std::vector<ReplicaCrash> counted;
 
-    for (const auto& crash : standingCrashes (evidence))
-        if (counted.empty() || crash.at >= counted.back().at + crashSpacing)
+    for (const auto& crash : unrefutedCrashes (evidence))
+        if (counted.empty() || crash.at >= counted.back().at + minCrashSpacing)
             counted.push_back (crash);
 
     return counted;
--- a/modules/snowrudder_requests/crashes/CrashTable.cpp
+++ b/modules/snowrudder_requests/crashes/CrashTable.cpp
@@ -10,13 +10,13 @@
 {
 
 /** Successes remembered in one generation: a node answers some hundred requests a second. */
-constexpr auto mostSuccesses = std::size_t { 8192 };
+constexpr auto maxSuccesses = std::size_t { 8192 };
 
 } // namespace
 
-auto CrashTable::noteCrash (const RequestFingerprint& request,
-                            std::string_view account,
-                            const ReplicaCrash& crash) -> bool
+auto CrashTable::recordCrash (const RequestFingerprint& request,
+                              std::string_view account,
+                              const ReplicaCrash& crash) -> bool
 {
     if (! request.isKnown())
         return false;
@@ -26,14 +26,14 @@
     seen.account = static_cast<std::uint32_t> (hashBytes (account));
     seen.crashes.push_back (crash);
     seen.lastSeen = crash.at;
-    const auto isToTell = true;
-    return hear (seen, isToTell, crash.at);
+    const auto shouldForward = true;
+    return merge (seen, shouldForward, crash.at);
 }
 
-auto CrashTable::noteOpenEnd (const RequestFingerprint& request,
-                              std::string_view account,
-                              const ReplicaCrash& end,
-                              TimePoint now) -> bool
+auto CrashTable::recordUnconfirmedCrash (const RequestFingerprint& request,
+                                         std::string_view account,
+                                         const ReplicaCrash& end,
+                                         TimePoint now) -> bool
 {
     if (! request.isKnown())
         return false;
@@ -43,38 +43,38 @@
     if (recentSuccess (request, now))
         return false;
 
-    auto& entry = entryFor (request, static_cast<std::uint32_t> (hashBytes (account)), now);
+    auto& entry = findOrAddEntry (request, static_cast<std::uint32_t> (hashBytes (account)), now);
     entry.evidence.lastSeen = std::max (entry.evidence.lastSeen, now);
 
-    if (! snowrudder::noteOpenEnd (entry.evidence, end))
+    if (! snowrudder::recordUnconfirmedCrash (entry.evidence, end))
         return false;
 
-    entry.tellsLeft = timesTold;
+    entry.sendsLeft = timesSent;
     return true;
 }
 
-auto CrashTable::noteAlive (std::uint64_t replica, TimePoint heard) -> void
+auto CrashTable::recordAlive (std::uint64_t replica, TimePoint received) -> void
 {
     const std::lock_guard lock (mutex);
 
     for (auto& [request, entry] : entries)
-        std::erase_if (entry.evidence.openEnds,
-                       [&] (const ReplicaCrash& end) { return end.replica == replica && end.at < heard; });
+        std::erase_if (entry.evidence.unconfirmedCrashes,
+                       [&] (const ReplicaCrash& end) { return end.replica == replica && end.at < received; });
 }
 
-auto CrashTable::noteSuccess (const RequestFingerprint& request, TimePoint now) -> void
+auto CrashTable::recordSuccess (const RequestFingerprint& request, TimePoint now) -> void
 {
     if (! request.isKnown())
         return;
 
     const std::lock_guard lock (mutex);
-    keepSuccess (request, now);
+    storeSuccess (request, now);
 
     if (const auto found = entries.find (request); found != entries.end())
-        takeSuccess (found->second, now);
+        applySuccess (found->second, now);
 }
 
-auto CrashTable::noteStopped (const RequestFingerprint& request, TimePoint now) -> void
+auto CrashTable::recordStopped (const RequestFingerprint& request, TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
 
@@ -82,74 +82,74 @@
         found->second.evidence.lastSeen = std::max (found->second.evidence.lastSeen, now);
 }
 
-auto CrashTable::hear (const CrashEvidence& heard, bool isToTell, TimePoint now) -> bool
+auto CrashTable::merge (const CrashEvidence& received, bool shouldForward, TimePoint now) -> bool
 {
-    if (! heard.request.isKnown() || now - heard.lastSeen > keepTime ||
-        (heard.crashes.empty() && standingOpenEnds (heard, now).empty()))
+    if (! received.request.isKnown() || now - received.lastSeen > retentionTime ||
+        (received.crashes.empty() && pendingUnconfirmedCrashes (received, now).empty()))
         return false;
 
     const std::lock_guard lock (mutex);
-    auto& entry = entryFor (heard.request, heard.account, now);
-    const auto isNews = mergeEvidence (entry.evidence, heard);
-    isToDecide = isToDecide || isNews;
+    auto& entry = findOrAddEntry (received.request, received.account, now);
+    const auto isChanged = mergeEvidence (entry.evidence, received);
+    areDecisionsStale = areDecisionsStale || isChanged;
 
-    if (isNews)
-        entry.learned = now;
+    if (isChanged)
+        entry.lastChange = now;
 
-    if (isNews && isToTell)
-        entry.tellsLeft = timesTold;
+    if (isChanged && shouldForward)
+        entry.sendsLeft = timesSent;
 
-    if (const auto success = recentSuccess (heard.request, now))
-        takeSuccess (entry, *success);
+    if (const auto success = recentSuccess (received.request, now))
+        applySuccess (entry, *success);
 
-    return isNews;
+    return isChanged;
 }
 
-auto CrashTable::judge (const RequestFingerprint& request, TimePoint now) const -> CrashJudgement
+auto CrashTable::assess (const RequestFingerprint& request, TimePoint now) const -> CrashAssessment
 {
     const std::lock_guard lock (mutex);
     const auto found = entries.find (request);
-    return found == entries.end() ? CrashJudgement() : judgeEntry (found->second, now);
+    return found == entries.end() ? CrashAssessment() : assessEntry (found->second, now);
 }
 
-auto CrashTable::suspectAnchors() const -> std::vector<std::uint64_t>
+auto CrashTable::suspectRankingHashes() const -> std::vector<std::uint64_t>
 {
     const std::lock_guard lock (mutex);
     decide();
     return suspects;
 }
 
-auto CrashTable::openEnds (TimePoint now) const -> std::vector<ReplicaCrash>
+auto CrashTable::unconfirmedCrashes (TimePoint now) const -> std::vector<ReplicaCrash>
 {
     const std::lock_guard lock (mutex);
     std::vector<ReplicaCrash> all;
 
     for (const auto& [request, entry] : entries)
     {
-        if (entry.evidence.openEnds.empty())
+        if (entry.evidence.unconfirmedCrashes.empty())
             continue;
 
-        const auto standing = standingOpenEnds (entry.evidence, now);
+        const auto standing = pendingUnconfirmedCrashes (entry.evidence, now);
         all.insert (all.end(), standing.begin(), standing.end());
     }
 
     return all;
 }
 
-auto CrashTable::takeToTell (std::size_t most) -> std::vector<CrashEvidence>
+auto CrashTable::takeUnsent (std::size_t most) -> std::vector<CrashEvidence>
 {
     const std::lock_guard lock (mutex);
     std::vector<CrashEvidence> told;
 
     for (auto& [request, entry] : entries)
     {
-        if (entry.tellsLeft == 0)
+        if (entry.sendsLeft == 0)
             continue;
 
         if (told.size() == most)
             break;
 
-        --entry.tellsLeft;
+        --entry.sendsLeft;
         told.push_back (entry.evidence);
     }
 
@@ -163,7 +163,7 @@
     std::vector<CrashEvidence> others;
 
     for (const auto& [request, entry] : entries)
-        (judgeEntry (entry, now).verdict == CrashVerdict::stopped ? stopped : others)
+        (assessEntry (entry, now).verdict == CrashVerdict::stopped ? stopped : others)
             .push_back (entry.evidence);
 
     stopped.insert (stopped.end(), others.begin(), others.end());
@@ -177,25 +177,25 @@
     auto sum = std::uint64_t { 0 };
 
     for (const auto& [request, entry] : entries)
-        if (judgeEntry (entry, now).verdict == CrashVerdict::stopped)
-            sum ^= anchorOf (request);
+        if (assessEntry (entry, now).verdict == CrashVerdict::stopped)
+            sum ^= rankingHash (request);
 
     return sum;
 }
 
-auto CrashTable::forgetOld (TimePoint now) -> void
+auto CrashTable::removeExpired (TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
-    isToDecide = true;
+    areDecisionsStale = true;
 
     std::erase_if (entries,
                    [this, now] (const auto& known)
                    {
                        const auto& evidence = known.second.evidence;
                        const auto isEmpty =
-                           evidence.crashes.empty() && standingOpenEnds (evidence, now).empty();
+                           evidence.crashes.empty() && pendingUnconfirmedCrashes (evidence, now).empty();
 
-                       if (! isEmpty && now - evidence.lastSeen <= keepTime)
+                       if (! isEmpty && now - evidence.lastSeen <= retentionTime)
                            return false;
 
                        --countByAccount[evidence.account];
@@ -211,13 +211,14 @@
     sizes.known = entries.size();
 
     for (const auto& [request, entry] : entries)
-        if (judgeEntry (entry, now).verdict == CrashVerdict::stopped)
+        if (assessEntry (entry, now).verdict == CrashVerdict::stopped)
             ++sizes.stopped;
 
     return sizes;
 }
 
-auto CrashTable::entryFor (const RequestFingerprint& request, std::uint32_t account, TimePoint now) -> Entry&
+auto CrashTable::findOrAddEntry (const RequestFingerprint& request, std::uint32_t account, TimePoint now)
+    -> Entry&
 {
     if (const auto found = entries.find (request); found != entries.end())
         return found->second;
@@ -231,18 +232,18 @@
     return entry;
 }
 
-auto CrashTable::takeSuccess (Entry& entry, TimePoint at) -> void
+auto CrashTable::applySuccess (Entry& entry, TimePoint at) -> void
 {
     auto& evidence = entry.evidence;
     const auto before = countedCrashes (evidence).size();
-    evidence.succeeded = std::max (evidence.succeeded.value_or (at), at);
+    evidence.lastSuccess = std::max (evidence.lastSuccess.value_or (at), at);
 
     if (countedCrashes (evidence).size() == before)
         return;
 
     // Told only where it changes something: a request that runs everywhere succeeds all the time.
-    entry.tellsLeft = timesTold;
-    isToDecide = true;
+    entry.sendsLeft = timesSent;
+    areDecisionsStale = true;
 }
 
 auto CrashTable::recentSuccess (const RequestFingerprint& request, TimePoint now) const
@@ -250,18 +251,18 @@
 {
     for (const auto* generation : { &successes, &earlierSuccesses })
         if (const auto found = generation->find (request);
-            found != generation->end() && now - found->second <= successCovers)
+            found != generation->end() && now - found->second <= successValidity)
             return found->second;
 
     return {};
 }
 
-auto CrashTable::keepSuccess (const RequestFingerprint& request, TimePoint now) -> void
+auto CrashTable::storeSuccess (const RequestFingerprint& request, TimePoint now) -> void
 {
-    if (now - generationBegan > successCovers || successes.size() >= mostSuccesses)
+    if (now - generationStart > successValidity || successes.size() >= maxSuccesses)
     {
         earlierSuccesses = std::exchange (successes, {});
-        generationBegan = now;
+        generationStart = now;
     }
 
     successes[request] = now;
@@ -270,9 +271,9 @@
 auto CrashTable::makeRoom (std::uint32_t account) -> void
 {
     const auto own = countByAccount.find (account);
-    const auto isOverOwn = own != countByAccount.end() && own->second >= mostOfAccount;
+    const auto isOverOwn = own != countByAccount.end() && own->second >= maxRequestsPerAccount;
 
-    if (entries.empty() || (! isOverOwn && entries.size() < mostRequests))
+    if (entries.empty() || (! isOverOwn && entries.size() < maxRequests))
         return;
 
     const auto largest =
@@ -291,12 +292,12 @@
 
     --countByAccount[from];
     entries.erase (oldest);
-    isToDecide = true;
+    areDecisionsStale = true;
 }
 
 auto CrashTable::decide() const -> void
 {
-    if (! std::exchange (isToDecide, false))
+    if (! std::exchange (areDecisionsStale, false))
         return;
 
     std::vector<const CrashEvidence*> known;
@@ -305,44 +306,44 @@
     for (const auto& [request, entry] : entries)
         known.push_back (&entry.evidence);
 
-    const auto decided = findFatalRequests (known);
-    auto next = decided.begin();
+    const auto decidedAt = findFatalRequests (known);
+    auto next = decidedAt.begin();
     suspects.clear();
 
     for (auto& [request, entry] : entries)
     {
-        entry.decided = *next++;
+        entry.decidedAt = *next++;
 
-        if (! entry.decided && countedCrashes (entry.evidence).size() > 1)
-            suspects.push_back (anchorOf (request));
+        if (! entry.decidedAt && countedCrashes (entry.evidence).size() > 1)
+            suspects.push_back (rankingHash (request));
     }
 }
 
-auto CrashTable::judgeEntry (const Entry& entry, TimePoint now) const -> CrashJudgement
+auto CrashTable::assessEntry (const Entry& entry, TimePoint now) const -> CrashAssessment
 {
     const auto counted = countedCrashes (entry.evidence);
-    const auto open = standingOpenEnds (entry.evidence, now).size();
+    const auto open = pendingUnconfirmedCrashes (entry.evidence, now).size();
 
     if (counted.empty() && open < crashesToPause)
         return {};
 
     decide();
-    CrashJudgement judgement;
-    judgement.verdict = CrashVerdict::suspected;
-    judgement.crashes = counted.size();
-    judgement.openEnds = open;
-    judgement.lastCrash = counted.empty() ? entry.evidence.lastSeen : counted.back().at;
-    judgement.suspects = suspects.size();
+    CrashAssessment assessment;
+    assessment.verdict = CrashVerdict::suspected;
+    assessment.crashes = counted.size();
+    assessment.unconfirmedCrashes = open;
+    assessment.lastCrash = counted.empty() ? entry.evidence.lastSeen : counted.back().at;
+    assessment.suspects = suspects.size();
 
-    if (! entry.decided)
-        return judgement;
+    if (! entry.decidedAt)
+        return assessment;
 
     // What was proved late is told late by others too.
-    const auto isSettled =
-        now >= entry.learned + settlingTime || now >= *entry.decided + openEndTime + hearingTime;
-    const auto isHeard = now >= *entry.decided + hearingTimeBeside (suspects.size()) && isSettled;
-    judgement.verdict = isHeard ? CrashVerdict::stopped : CrashVerdict::undecided;
-    return judgement;
+    const auto isSettled = now >= entry.lastChange + settlingTime ||
+                           now >= *entry.decidedAt + confirmationTimeout + evidenceWaitTime;
+    const auto isHeard = now >= *entry.decidedAt + evidenceWaitTimeFor (suspects.size()) && isSettled;
+    assessment.verdict = isHeard ? CrashVerdict::stopped : CrashVerdict::undecided;
+    return assessment;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/crashes/CrashTable.h
+++ b/modules/snowrudder_requests/crashes/CrashTable.h
@@ -23,13 +23,13 @@
 };
 
 /** A verdict with what it rests on. */
-struct CrashJudgement
+struct CrashAssessment
 {
     CrashVerdict verdict = CrashVerdict::clear;
     /** Replicas that ended under the request and count against it. */
     std::size_t crashes = 0;
     /** Connections that ended under it lately, of which it is not known yet whether the replica has. */
-    std::size_t openEnds = 0;
+    std::size_t unconfirmedCrashes = 0;
     /** The latest of those. */
     TimePoint lastCrash {};
     /** Requests that may be fatal, this one included: several replicas ended under each, and none is stopped. */
@@ -49,47 +49,47 @@
 
         @returns  whether that was not known
     */
-    auto noteCrash (const RequestFingerprint& request, std::string_view account, const ReplicaCrash& crash)
+    auto recordCrash (const RequestFingerprint& request, std::string_view account, const ReplicaCrash& crash)
         -> bool;
 
     /** Notes that a connection ended under a request of this node, and that its replica may have.
 
         @returns  whether that is to be told: a request that succeeds elsewhere is not suspected
     */
-    auto noteOpenEnd (const RequestFingerprint& request,
-                      std::string_view account,
-                      const ReplicaCrash& end,
-                      TimePoint now) -> bool;
+    auto recordUnconfirmedCrash (const RequestFingerprint& request,
+                                 std::string_view account,
+                                 const ReplicaCrash& end,
+                                 TimePoint now) -> bool;
 
     /** Notes that a replica was heard of after its connections ended. */
-    auto noteAlive (std::uint64_t replica, TimePoint heard) -> void;
+    auto recordAlive (std::uint64_t replica, TimePoint received) -> void;
 
     /** Notes that a replica answered a request whole and with success. */
-    auto noteSuccess (const RequestFingerprint& request, TimePoint now) -> void;
+    auto recordSuccess (const RequestFingerprint& request, TimePoint now) -> void;
 
     /** Notes that a repeat of a request was stopped. */
-    auto noteStopped (const RequestFingerprint& request, TimePoint now) -> void;
+    auto recordStopped (const RequestFingerprint& request, TimePoint now) -> void;
 
     /** Takes in what another node told.
 
-        @param isToTell  whether this node hands on what is new
+        @param shouldForward  whether this node hands on what is new
         @returns         whether there was anything new
     */
-    auto hear (const CrashEvidence& heard, bool isToTell, TimePoint now) -> bool;
+    auto merge (const CrashEvidence& received, bool shouldForward, TimePoint now) -> bool;
 
     /** @returns whether a request may be sent to a replica now. */
-    [[nodiscard]] auto judge (const RequestFingerprint& request, TimePoint now) const -> CrashJudgement;
+    [[nodiscard]] auto assess (const RequestFingerprint& request, TimePoint now) const -> CrashAssessment;
 
     /** @returns the anchors of requests that may be fatal, in no order: several replicas ended under each. They are to run apart, so
         that one replica's end speaks against one of them.
     */
-    [[nodiscard]] auto suspectAnchors() const -> std::vector<std::uint64_t>;
+    [[nodiscard]] auto suspectRankingHashes() const -> std::vector<std::uint64_t>;
 
     /** @returns ends of connections that may still prove to be crashes, of all requests. */
-    [[nodiscard]] auto openEnds (TimePoint now) const -> std::vector<ReplicaCrash>;
+    [[nodiscard]] auto unconfirmedCrashes (TimePoint now) const -> std::vector<ReplicaCrash>;
 
-    /** @returns what is to be told to other nodes now; each news is told `timesTold` times, since messages get lost. */
-    auto takeToTell (std::size_t most) -> std::vector<CrashEvidence>;
+    /** @returns what is to be told to other nodes now; each news is told `timesSent` times, since messages get lost. */
+    auto takeUnsent (std::size_t most) -> std::vector<CrashEvidence>;
 
     /** @returns all that is known, the requests that are stopped first. */
     [[nodiscard]] auto all (std::size_t most, TimePoint now) const -> std::vector<CrashEvidence>;
@@ -97,8 +97,8 @@
     /** @returns a number that is the same at nodes that stop the same requests; zero where none is stopped. */
     [[nodiscard]] auto digest (TimePoint now) const -> std::uint64_t;
 
-    /** Forgets what is older than `keepTime`. */
-    auto forgetOld (TimePoint now) -> void;
+    /** Forgets what is older than `retentionTime`. */
+    auto removeExpired (TimePoint now) -> void;
 
     struct Sizes
     {
@@ -109,44 +109,44 @@
     [[nodiscard]] auto sizes (TimePoint now) const -> Sizes;
 
     /** A request is forgotten when it was not seen for so long. One that goes on coming stays stopped. */
-    static constexpr auto keepTime = Duration (10min);
+    static constexpr auto retentionTime = Duration (10min);
 
-    static constexpr auto mostRequests = std::size_t { 2048 };
-    static constexpr auto mostOfAccount = std::size_t { 256 };
-    static constexpr auto timesTold = std::uint32_t { 3 };
+    static constexpr auto maxRequests = std::size_t { 2048 };
+    static constexpr auto maxRequestsPerAccount = std::size_t { 256 };
+    static constexpr auto timesSent = std::uint32_t { 3 };
 
 private:
     struct Entry
     {
         CrashEvidence evidence;
-        std::uint32_t tellsLeft = 0;
+        std::uint32_t sendsLeft = 0;
         /** When this node last learned something of it. */
-        TimePoint learned {};
+        TimePoint lastChange {};
         /** When the crash happened that showed it to be fatal. */
-        std::optional<TimePoint> decided;
+        std::optional<TimePoint> decidedAt;
     };
 
-    auto entryFor (const RequestFingerprint& request, std::uint32_t account, TimePoint now) -> Entry&;
-    auto takeSuccess (Entry& entry, TimePoint at) -> void;
+    auto findOrAddEntry (const RequestFingerprint& request, std::uint32_t account, TimePoint now) -> Entry&;
+    auto applySuccess (Entry& entry, TimePoint at) -> void;
     auto recentSuccess (const RequestFingerprint& request, TimePoint now) const -> std::optional<TimePoint>;
-    auto keepSuccess (const RequestFingerprint& request, TimePoint now) -> void;
+    auto storeSuccess (const RequestFingerprint& request, TimePoint now) -> void;
     auto makeRoom (std::uint32_t account) -> void;
     auto decide() const -> void;
-    [[nodiscard]] auto judgeEntry (const Entry& entry, TimePoint now) const -> CrashJudgement;
+    [[nodiscard]] auto assessEntry (const Entry& entry, TimePoint now) const -> CrashAssessment;
 
     using Successes = std::unordered_map<RequestFingerprint, TimePoint, FingerprintHash>;
 
     mutable std::mutex mutex;
     mutable std::unordered_map<RequestFingerprint, Entry, FingerprintHash> entries;
     /** Whether the evidence has changed since requests were last decided on. */
-    mutable bool isToDecide = false;
-    /** From suspectAnchors(). */
+    mutable bool areDecisionsStale = false;
+    /** From suspectRankingHashes(). */
     mutable std::vector<std::uint64_t> suspects;
     std::map<std::uint32_t, std::size_t> countByAccount;
     /** Requests that lately succeeded, in two generations of `successCovers` each. */
     Successes successes;
     Successes earlierSuccesses;
-    TimePoint generationBegan {};
+    TimePoint generationStart {};
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/crashes/FatalRequests.cpp
+++ b/modules/snowrudder_requests/crashes/FatalRequests.cpp
@@ -19,16 +19,16 @@
 };
 
 /** Who ran on a replica as it ended. */
-struct Sharer
+struct CrashParticipant
 {
     std::size_t suspect = 0;
     ReplicaCrash crash;
 };
 
-using SharersByReplica = std::unordered_map<std::uint64_t, std::vector<Sharer>>;
+using ParticipantsByReplica = std::unordered_map<std::uint64_t, std::vector<CrashParticipant>>;
 
 /** What speaks against a request. */
-struct Weighing
+struct CrashScore
 {
     /** Crashes, those that another request may have caused as well for a part; none that a fatal request explains. */
     double crashes = 0.0;
@@ -37,10 +37,11 @@
     std::optional<TimePoint> byAll;
 };
 
-auto weigh (std::size_t index, const std::vector<Suspect>& suspects, const SharersByReplica& sharers)
-    -> Weighing
+auto scoreCrashes (std::size_t index,
+                   const std::vector<Suspect>& suspects,
+                   const ParticipantsByReplica& sharers) -> CrashScore
 {
-    Weighing weighing;
+    CrashScore weighing;
     const auto& own = suspects[index];
     auto ownCrashes = std::size_t { 0 };
     auto aloneCrashes = std::size_t { 0 };
@@ -66,7 +67,7 @@
         const auto isOwn = ! isExplained && ! isContested;
         ownCrashes += isOwn ? 1 : 0;
         aloneCrashes += isAlone ? 1 : 0;
-        weighing.crashes += isOwn ? 1.0 : isExplained ? explainedShare : contestedShare;
+        weighing.crashes += isOwn ? 1.0 : isExplained ? explainedWeight : contestedWeight;
 
         if (! weighing.byOwn && ownCrashes >= crashesToStop)
             weighing.byOwn = crash.at;
@@ -85,7 +86,7 @@
 
     @returns whether there was one
 */
-auto decideByOwn (std::vector<Suspect>& suspects, const SharersByReplica& sharers) -> bool
+auto decideByOwnCrashes (std::vector<Suspect>& suspects, const ParticipantsByReplica& sharers) -> bool
 {
     std::vector<std::pair<std::size_t, TimePoint>> found;
 
@@ -94,7 +95,7 @@
         if (suspects[index].decided || suspects[index].counted.size() < crashesToStop)
             continue;
 
-        if (const auto weighing = weigh (index, suspects, sharers); weighing.byOwn)
+        if (const auto weighing = scoreCrashes (index, suspects, sharers); weighing.byOwn)
             found.emplace_back (index, *weighing.byOwn);
     }
 
@@ -108,15 +109,15 @@
 
     @returns whether there was one
 */
-auto decideWorst (std::vector<Suspect>& suspects, const SharersByReplica& sharers) -> bool
+auto decideHighestScore (std::vector<Suspect>& suspects, const ParticipantsByReplica& sharers) -> bool
 {
-    const auto rankOf = [] (const Suspect& suspect, const Weighing& weighing)
+    const auto rankOf = [] (const Suspect& suspect, const CrashScore& weighing)
     {
         const auto& request = suspect.evidence->request;
         return std::tuple (weighing.crashes, request.high, request.low);
     };
     Suspect* worst = nullptr;
-    Weighing worstWeighing;
+    CrashScore worstWeighing;
 
     for (std::size_t index = 0; index < suspects.size(); ++index)
     {
@@ -125,7 +126,7 @@
         if (suspect.decided || suspect.counted.size() < crashesToStop)
             continue;
 
-        const auto weighing = weigh (index, suspects, sharers);
+        const auto weighing = scoreCrashes (index, suspects, sharers);
 
         if (! weighing.byAll)
             continue;
@@ -145,11 +146,11 @@
 
 } // namespace
 
-auto hearingTimeBeside (std::size_t suspects) -> Duration
+auto evidenceWaitTimeFor (std::size_t suspects) -> Duration
 {
     constexpr auto timeEach = Duration (250ms);
     constexpr auto longest = Duration (750ms);
-    return hearingTime + std::min (longest, timeEach * static_cast<std::int64_t> (suspects));
+    return evidenceWaitTime + std::min (longest, timeEach * static_cast<std::int64_t> (suspects));
 }
 
 auto findFatalRequests (std::span<const CrashEvidence* const> requests)
@@ -157,17 +158,17 @@
 {
     std::vector<Suspect> suspects;
     suspects.reserve (requests.size());
-    SharersByReplica sharers;
+    ParticipantsByReplica sharers;
 
     for (const auto* evidence : requests)
     {
-        for (const auto& crash : standingCrashes (*evidence))
+        for (const auto& crash : unrefutedCrashes (*evidence))
             sharers[crash.replica].push_back ({ suspects.size(), crash });
 
         suspects.push_back ({ evidence, countedCrashes (*evidence), {} });
     }
 
-    while (decideByOwn (suspects, sharers) || decideWorst (suspects, sharers))
+    while (decideByOwnCrashes (suspects, sharers) || decideHighestScore (suspects, sharers))
         continue;
 
     std::vector<std::optional<TimePoint>> decided;
--- a/modules/snowrudder_requests/crashes/FatalRequests.h
+++ b/modules/snowrudder_requests/crashes/FatalRequests.h
@@ -16,19 +16,19 @@
 inline constexpr auto crashesToPause = std::size_t { 2 };
 
 /** A crash that another request may have caused as well counts for this part of one. */
-inline constexpr auto contestedShare = 0.5;
+inline constexpr auto contestedWeight = 0.5;
 
 /** A crash that a request explains which is found to be fatal counts for this part of one: a request that never succeeds and
     always ran beside another one is not innocent for ever.
 */
-inline constexpr auto explainedShare = 0.25;
+inline constexpr auto explainedWeight = 0.25;
 
 /** Before a request is stopped, evidence of other nodes is waited for since the crash that decided it: it may show that another
     request ended the same replicas and more.
 
     @param suspects  other requests that may be fatal; each of them takes its time to end one replica more
 */
-auto hearingTimeBeside (std::size_t suspects) -> Duration;
+auto evidenceWaitTimeFor (std::size_t suspects) -> Duration;
 
 /** Tells which requests end the replicas that run them from those that only ran beside one.
 
--- a/modules/snowrudder_requests/crashes/RequestFingerprint.h
+++ b/modules/snowrudder_requests/crashes/RequestFingerprint.h
@@ -30,7 +30,7 @@
 };
 
 /** @returns the hash by which replicas are ranked for a request. */
-inline auto anchorOf (const RequestFingerprint& request) -> std::uint64_t
+inline auto rankingHash (const RequestFingerprint& request) -> std::uint64_t
 {
     return combineHashes (request.high, request.low);
 }
--- a/modules/snowrudder_requests/once/KeyTable.cpp
+++ b/modules/snowrudder_requests/once/KeyTable.cpp
@@ -34,7 +34,7 @@
         found->second.frozen = frozen;
 }
 
-auto KeyTable::giveUp (std::uint32_t slot) -> void
+auto KeyTable::releaseSlot (std::uint32_t slot) -> void
 {
     slots.erase (slot);
 }
@@ -78,7 +78,7 @@
     return { KeyVerdict::run, {} };
 }
 
-auto KeyTable::noteEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void
+auto KeyTable::recordEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void
 {
     const auto found = keys.find ({ key, account });
 
--- a/modules/snowrudder_requests/once/KeyTable.h
+++ b/modules/snowrudder_requests/once/KeyTable.h
@@ -111,7 +111,7 @@
     auto setFrozen (std::uint32_t slot, bool frozen) -> void;
 
     /** Gives a slot up. Its keys stay known for answers that are asked for again. */
-    auto giveUp (std::uint32_t slot) -> void;
+    auto releaseSlot (std::uint32_t slot) -> void;
 
     /** Decides about a call, and remembers its key where the verdict is `run`.
 
@@ -121,7 +121,7 @@
         -> KeyDecision;
 
     /** Notes how a call ended. One that is proved not to have run is forgotten, so that it may run yet. */
-    auto noteEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void;
+    auto recordEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void;
 
     /** @returns the keys of a slot, to hand over. A call still running may have run for all that the heir can know. */
     [[nodiscard]] auto entriesOf (std::uint32_t slot) const -> std::vector<KeyEntry>;
--- a/modules/snowrudder_requests/once/SlotRecord.cpp
+++ b/modules/snowrudder_requests/once/SlotRecord.cpp
@@ -89,7 +89,7 @@
     return isAlive ? &record->second : nullptr;
 }
 
-auto isWhollyOwned (const SlotView& view) -> bool
+auto areAllSlotsOwned (const SlotView& view) -> bool
 {
     for (auto slot = std::uint32_t { 0 }; slot < keySlotCount; ++slot)
         if (liveOwner (view, slot) == nullptr)
--- a/modules/snowrudder_requests/once/SlotRecord.h
+++ b/modules/snowrudder_requests/once/SlotRecord.h
@@ -61,7 +61,7 @@
 auto liveOwner (const SlotView& view, std::uint32_t slot) -> const SlotRecord*;
 
 /** @returns whether every slot has a living owner. */
-auto isWhollyOwned (const SlotView& view) -> bool;
+auto areAllSlotsOwned (const SlotView& view) -> bool;
 
 /** @returns the router that should own a slot among those with a living lease: the same for all that see the same
     leases. Empty when there is none.
--- a/modules/snowrudder_requests/record/RequestRecord.cpp
+++ b/modules/snowrudder_requests/record/RequestRecord.cpp
@@ -15,10 +15,10 @@
 {
     const std::lock_guard lock (mutex);
 
-    if (reached == RecordState::handedOver)
+    if (currentState == RecordState::handedOver)
         return;
 
-    requireInvariant (reached == RecordState::open, "an answer that has ended gets nothing more");
+    requireInvariant (currentState == RecordState::open, "an answer that has ended gets nothing more");
 
     if (! chunk.other.empty())
         answer.appendChoice (chunk.other);
@@ -32,10 +32,10 @@
 {
     const std::lock_guard lock (mutex);
 
-    if (! mayEnd())
+    if (! canEnd())
         return;
 
-    reached = RecordState::finished;
+    currentState = RecordState::finished;
     finishReason = std::move (reason);
     counts = usage;
     notifyReaders();
@@ -45,10 +45,10 @@
 {
     const std::lock_guard lock (mutex);
 
-    if (! mayEnd())
+    if (! canEnd())
         return;
 
-    reached = RecordState::finished;
+    currentState = RecordState::finished;
     kept = std::move (plainAnswer);
     notifyReaders();
 }
@@ -57,10 +57,10 @@
 {
     const std::lock_guard lock (mutex);
 
-    if (! mayEnd())
+    if (! canEnd())
         return;
 
-    reached = RecordState::failed;
+    currentState = RecordState::failed;
     failure = std::move (problem);
     notifyReaders();
 }
@@ -69,19 +69,19 @@
 {
     const std::lock_guard lock (mutex);
     Part part;
-    part.state = reached;
+    part.state = currentState;
 
     const auto eventCount = answer.eventCount();
     part.lastEvent = after < eventCount ? answer.write (writer, after, partBytes, target) : after;
 
-    const auto hasEnd = reached == RecordState::finished || reached == RecordState::failed;
+    const auto hasEnd = currentState == RecordState::finished || currentState == RecordState::failed;
 
     if (! hasEnd || part.lastEvent < eventCount)
         return part;
 
     part.ended = true;
 
-    if (reached == RecordState::failed)
+    if (currentState == RecordState::failed)
     {
         ChatWriter::appendProblem (target, problemBody (failure, toString (about.id)));
         return part;
@@ -101,7 +101,7 @@
 auto RequestRecord::state() const -> RecordState
 {
     const std::lock_guard lock (mutex);
-    return reached;
+    return currentState;
 }
 
 auto RequestRecord::wholeAnswer() const -> std::string
@@ -170,7 +170,7 @@
         runSignal->notify();
 }
 
-auto RequestRecord::noteRead (std::size_t lastEvent) -> void
+auto RequestRecord::updateReadPosition (std::size_t lastEvent) -> void
 {
     const std::lock_guard lock (mutex);
     furthestRead = std::max (furthestRead, lastEvent);
@@ -179,10 +179,10 @@
         runSignal->notify();
 }
 
-auto RequestRecord::noteWholeRead() -> void
+auto RequestRecord::markReadToEnd() -> void
 {
     const std::lock_guard lock (mutex);
-    furthestRead = std::max (furthestRead, lastOfWhole());
+    furthestRead = std::max (furthestRead, finalEventNumber());
 }
 
 auto RequestRecord::isAhead() const -> bool
@@ -190,7 +190,7 @@
     const std::lock_guard lock (mutex);
 
     // A caller that wants the whole answer reads nothing until its end.
-    return about.stream && ! readers.empty() && answer.eventCount() > furthestRead + mostAhead;
+    return about.stream && ! readers.empty() && answer.eventCount() > furthestRead + maxEventsAhead;
 }
 
 auto RequestRecord::abandonedSince() const -> std::optional<TimePoint>
@@ -231,22 +231,22 @@
     request = std::move (chatRequest);
 }
 
-auto RequestRecord::noteUsage (const Usage& first, std::uint32_t answerTokens) -> void
+auto RequestRecord::updateUsage (const Usage& first, std::uint32_t answerTokens) -> void
 {
     const std::lock_guard lock (mutex);
     counts = first;
     tokensSoFar = answerTokens;
 }
 
-auto RequestRecord::takeForHandover() -> std::optional<HandedState>
+auto RequestRecord::takeForHandover() -> std::optional<HandoverState>
 {
     const std::lock_guard lock (mutex);
-    const auto isUnread = reached == RecordState::finished && furthestRead < lastOfWhole();
+    const auto isUnread = currentState == RecordState::finished && furthestRead < finalEventNumber();
 
-    if (! request || (reached != RecordState::open && ! isUnread))
+    if (! request || (currentState != RecordState::open && ! isUnread))
         return {};
 
-    HandedState handed { about, boost::json::serialize (request->body), answer, counts, tokensSoFar };
+    HandoverState handed { about, boost::json::serialize (request->body), answer, counts, tokensSoFar };
 
     // A whole answer can still be read here; its caller may come when this router is gone.
     if (isUnread)
@@ -256,7 +256,7 @@
         return handed;
     }
 
-    reached = RecordState::handedOver;
+    currentState = RecordState::handedOver;
     notifyReaders();
 
     if (interruptFunction)
@@ -265,18 +265,18 @@
     return handed;
 }
 
-auto RequestRecord::lastOfWhole() const -> std::size_t
+auto RequestRecord::finalEventNumber() const -> std::size_t
 {
     // Behind the last piece come the reason, and the usage figures where asked for.
     return answer.eventCount() + (about.includeUsage ? 2 : 1);
 }
 
-auto RequestRecord::mayEnd() const -> bool
+auto RequestRecord::canEnd() const -> bool
 {
-    if (reached == RecordState::handedOver)
+    if (currentState == RecordState::handedOver)
         return false;
 
-    requireInvariant (reached == RecordState::open, "a request ends once");
+    requireInvariant (currentState == RecordState::open, "a request ends once");
     return true;
 }
 
--- a/modules/snowrudder_requests/record/RequestRecord.h
+++ b/modules/snowrudder_requests/record/RequestRecord.h
@@ -54,7 +54,7 @@
 };
 
 /** What another router needs to go on with a model request. */
-struct HandedState
+struct HandoverState
 {
     RequestIdentity identity;
     /** As the caller sent it. */
@@ -83,13 +83,13 @@
     auto keepRequest (std::shared_ptr<const ChatRequest> chatRequest) -> void;
 
     /** Notes the counts so far, to hand them over. */
-    auto noteUsage (const Usage& first, std::uint32_t answerTokens) -> void;
+    auto updateUsage (const Usage& first, std::uint32_t answerTokens) -> void;
 
     /** Gives out what another router needs to go on, and ends the record here where it is open.
 
         @returns nothing where no caller can lack anything, or where it is no model request
     */
-    auto takeForHandover() -> std::optional<HandedState>;
+    auto takeForHandover() -> std::optional<HandoverState>;
 
     [[nodiscard]] auto identity() const -> const RequestIdentity& { return about; }
 
@@ -153,10 +153,10 @@
     auto removeReader (const std::shared_ptr<Signal>& signal, TimePoint now) -> void;
 
     /** Notes how far the readers are: lets a run that waits for room go on. */
-    auto noteRead (std::size_t lastEvent) -> void;
+    auto updateReadPosition (std::size_t lastEvent) -> void;
 
     /** Notes that a caller has the whole answer. */
-    auto noteWholeRead() -> void;
+    auto markReadToEnd() -> void;
 
     /** @returns whether the run is far ahead of its readers and should wait. */
     [[nodiscard]] auto isAhead() const -> bool;
@@ -179,22 +179,22 @@
 
 private:
     /** Events that a run may be ahead of the furthest reader. */
-    static constexpr auto mostAhead = std::size_t { 512 };
+    static constexpr auto maxEventsAhead = std::size_t { 512 };
     static constexpr auto partBytes = std::size_t { 32 * 1024 };
 
     auto notifyReaders() -> void;
 
     /** @returns the number of the last event of a stream that is whole. */
-    [[nodiscard]] auto lastOfWhole() const -> std::size_t;
+    [[nodiscard]] auto finalEventNumber() const -> std::size_t;
 
     /** @returns whether the record can be ended here, and checks that it has not ended before. */
-    [[nodiscard]] auto mayEnd() const -> bool;
+    [[nodiscard]] auto canEnd() const -> bool;
 
     const RequestIdentity about;
     const ChatWriter writer;
 
     mutable std::mutex mutex;
-    RecordState reached = RecordState::open;
+    RecordState currentState = RecordState::open;
     StreamedAnswer answer;
     std::string finishReason;
     Usage counts;
--- a/modules/snowrudder_requests/record/RequestTable.cpp
+++ b/modules/snowrudder_requests/record/RequestTable.cpp
@@ -23,7 +23,7 @@
     return nullptr;
 }
 
-auto RequestTable::addHanded (const RecordPointer& record) -> RecordPointer
+auto RequestTable::addHandedOver (const RecordPointer& record) -> RecordPointer
 {
     const std::lock_guard lock (mutex);
     const std::string noKey;
@@ -47,7 +47,7 @@
     return found->second.record;
 }
 
-auto RequestTable::noteEnded (const RecordPointer& record, TimePoint now) -> void
+auto RequestTable::markEnded (const RecordPointer& record, TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
     const auto found = records.find (toString (record->identity().id));
--- a/modules/snowrudder_requests/record/RequestTable.h
+++ b/modules/snowrudder_requests/record/RequestTable.h
@@ -41,13 +41,13 @@
 
         @returns the record that stands under the identifier: this one, or the earlier one
     */
-    auto addHanded (const RecordPointer& record) -> RecordPointer;
+    auto addHandedOver (const RecordPointer& record) -> RecordPointer;
 
     /** @returns the record of an identifier, or nullptr; another client account's is not found either. */
     [[nodiscard]] auto find (const std::string& id, std::string_view account) const -> RecordPointer;
 
     /** Notes that a record has ended: it is kept for the stated time from now. */
-    auto noteEnded (const RecordPointer& record, TimePoint now) -> void;
+    auto markEnded (const RecordPointer& record, TimePoint now) -> void;
 
     /** Drops what was kept long enough, and the oldest beyond the byte limit. */
     auto dropOld (TimePoint now) -> void;
--- a/modules/snowrudder_requests/retry/AttemptCount.h
+++ b/modules/snowrudder_requests/retry/AttemptCount.h
@@ -16,14 +16,14 @@
     /** That a replica declined, or for which no replica was usable. */
     std::uint32_t declined = 0;
     /** Whose replica was no longer there. */
-    std::uint32_t metNobody = 0;
+    std::uint32_t staleEntries = 0;
 };
 
 /** Notes an attempt that failed. */
-inline auto noteFailed (AttemptCount& count, const AttemptOutcome& outcome) -> void
+inline auto recordFailure (AttemptCount& count, const AttemptOutcome& outcome) -> void
 {
-    if (metNobody (outcome))
-        ++count.metNobody;
+    if (metStaleEntry (outcome))
+        ++count.staleEntries;
     else if (ranAfter (outcome) == Ran::no)
         ++count.declined;
     else
--- a/modules/snowrudder_requests/retry/RetryBudget.h
+++ b/modules/snowrudder_requests/retry/RetryBudget.h
@@ -17,17 +17,17 @@
 };
 
 /** Most retries saved up, where nothing else is set. */
-inline constexpr auto usualSavedRetries = 10.0;
+inline constexpr auto defaultMaxSavedRetries = 10.0;
 
 /** Adds a request's share.
 
     @param percent    retries allowed for each 100 requests
-    @param mostSaved  retries that can be saved up
+    @param maxSaved  retries that can be saved up
 */
-inline auto earnRetry (RetryBudget& budget, double percent, double mostSaved = usualSavedRetries) -> void
+inline auto earnRetry (RetryBudget& budget, double percent, double maxSaved = defaultMaxSavedRetries) -> void
 {
     constexpr auto whole = 100.0;
-    budget.left = std::min (mostSaved, budget.left + percent / whole);
+    budget.left = std::min (maxSaved, budget.left + percent / whole);
 }
 
 /** Takes a retry if one is there. */
@@ -47,16 +47,16 @@
     /** Sets how many retries can be saved up for an account and service. As many are there from the first setting on: when a node has
         just started, others may have as well, and more than usual fails.
     */
-    auto setMostSaved (double mostSaved) -> void
+    auto setMaxSaved (double maxSaved) -> void
     {
         const std::lock_guard lock (mutex);
 
         if (! isSet)
             for (auto& [name, budget] : budgets)
-                budget.left = std::max (budget.left, mostSaved - RetryBudget().left + budget.left);
+                budget.left = std::max (budget.left, maxSaved - RetryBudget().left + budget.left);
 
         isSet = true;
-        saved = mostSaved;
+        saved = maxSaved;
     }
 
     auto earn (const std::string& account, const std::string& service, double percent) -> void
@@ -87,9 +87,9 @@
     }
 
     std::mutex mutex;
-    /** Whether setMostSaved() was called: before, a node does not know its part. */
+    /** Whether setMaxSaved() was called: before, a node does not know its part. */
     bool isSet = false;
-    double saved = usualSavedRetries;
+    double saved = defaultMaxSavedRetries;
     std::map<std::string, RetryBudget> budgets;
 };
 
--- a/modules/snowrudder_requests/retry/RetryDecision.cpp
+++ b/modules/snowrudder_requests/retry/RetryDecision.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-constexpr auto firstPause = 20ms;
-constexpr auto longestPause = 1s;
+constexpr auto initialBackoff = 20ms;
+constexpr auto maxBackoff = 1s;
 
 /** Full jitter: anything from nothing to the doubled pause. */
-auto pauseAfter (std::uint32_t attempts, double jitter) -> Duration
+auto backoffAfter (std::uint32_t attempts, double jitter) -> Duration
 {
     const auto doublings = std::min (attempts - 1, 10U);
-    const auto most = std::min<Duration> (firstPause * (1U << doublings), longestPause);
+    const auto most = std::min<Duration> (initialBackoff * (1U << doublings), maxBackoff);
     return std::chrono::duration_cast<Duration> (most * jitter);
 }
 
@@ -39,11 +39,12 @@
 
     if (outcome.cause == FailureCause::moved)
     {
-        decision.again = now < input.deadline;
+        decision.shouldRetry = now < input.deadline;
         return decision;
     }
 
-    const auto pause = metNobody (outcome) ? Duration::zero() : pauseAfter (input.attempts, input.jitter);
+    const auto pause =
+        metStaleEntry (outcome) ? Duration::zero() : backoffAfter (input.attempts, input.jitter);
     // An attempt that no replica has seen adds nothing to their work.
     const auto takesBudget = ! input.answerBegun && outcome.stage != CallStage::planned;
 
@@ -51,7 +52,7 @@
         (takesBudget && ! input.budgetLeft))
         return decision;
 
-    decision.again = true;
+    decision.shouldRetry = true;
     decision.pause = pause;
     decision.takesBudget = takesBudget;
     return decision;
--- a/modules/snowrudder_requests/retry/RetryDecision.h
+++ b/modules/snowrudder_requests/retry/RetryDecision.h
@@ -10,7 +10,7 @@
 {
 
 /** Most attempts for one request, where its route or service does not say. */
-inline constexpr auto usualMostAttempts = std::uint32_t { 4 };
+inline constexpr auto defaultMaxAttempts = std::uint32_t { 4 };
 
 /** What the decision needs to know of a request. */
 struct RetryInput
@@ -24,7 +24,7 @@
     /** Attempts that count, the failed one included: countedAttempts(). Moves don't. */
     std::uint32_t attempts = 1;
     /** Most attempts for the request. */
-    std::uint32_t mostAttempts = usualMostAttempts;
+    std::uint32_t mostAttempts = defaultMaxAttempts;
     /** Whether the retry budget has something left. */
     bool budgetLeft = true;
     TimePoint deadline {};
@@ -35,7 +35,7 @@
 /** What follows a failed attempt. */
 struct RetryDecision
 {
-    bool again = false;
+    bool shouldRetry = false;
     /** Before the next attempt. */
     Duration pause {};
     /** Whether the next attempt is taken from the retry budget. */
--- a/modules/snowrudder_router/background/Sweep.cpp
+++ b/modules/snowrudder_router/background/Sweep.cpp
@@ -96,7 +96,7 @@
         countReplicas (state, now);
         state.requests.dropOld (now);
         state.crashes.lookAgain (worker.probes, now);
-        state.crashes.table().forgetOld (now);
+        state.crashes.table().removeExpired (now);
         noteSizes (state.metrics, state.crashes.table().sizes (now));
         state.counts.openRequests.set (static_cast<std::int64_t> (state.requests.openCount()));
         state.counts.keptBytes.set (static_cast<std::int64_t> (state.requests.keptBytes()));
--- a/modules/snowrudder_router/gateway/CallerScope.cpp
+++ b/modules/snowrudder_router/gateway/CallerScope.cpp
@@ -60,12 +60,12 @@
     -> std::optional<Problem>
 {
     const auto now = SteadyClock::now();
-    const auto judgement = state.crashes.judge (fingerprint, now);
+    const auto assessment = state.crashes.assess (fingerprint, now);
 
-    if (judgement.verdict != CrashVerdict::stopped)
+    if (assessment.verdict != CrashVerdict::stopped)
         return {};
 
-    state.crashes.noteStopped (fingerprint, requestId, judgement, now);
+    state.crashes.recordStopped (fingerprint, requestId, assessment, now);
     const auto mayHaveRun = false;
     return problemWhenStopped (mayHaveRun);
 }
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -113,7 +113,7 @@
     }
 
     record->currentReplica = 0;
-    state.requests.noteEnded (record, SteadyClock::now());
+    state.requests.markEnded (record, SteadyClock::now());
 }
 
 auto ModelRun::runAttempts() -> Task<void>
@@ -134,7 +134,7 @@
             .with ("fingerprint", toString (fingerprint))
             .info();
 
-        if (! decision.again)
+        if (! decision.shouldRetry)
         {
             fail (*outcome, decision);
             co_return;
@@ -148,11 +148,11 @@
 {
     ++attempts;
 
-    const auto judgement = co_await waitForVerdict();
+    const auto assessment = co_await waitForVerdict();
 
-    if (judgement.verdict == CrashVerdict::stopped)
+    if (assessment.verdict == CrashVerdict::stopped)
     {
-        state.crashes.noteStopped (fingerprint, idText, judgement, SteadyClock::now());
+        state.crashes.recordStopped (fingerprint, idText, assessment, SteadyClock::now());
         co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
     }
 
@@ -166,7 +166,7 @@
     isOverShare = state.queues.isOverShare (service->name, account->name);
     input.isOverShare = isOverShare;
     input.routers = state.routerCount();
-    const SuspectRanking ranking (state.crashes.table(), fingerprint, judgement, promptTokens);
+    const SuspectRanking ranking (state.crashes.table(), fingerprint, assessment, promptTokens);
     ranking.applyTo (input);
 
     auto taken = state.replicas.take (service->name, input, choiceWeights (*service), SteadyClock::now());
@@ -206,7 +206,7 @@
     co_return outcome;
 }
 
-auto ModelRun::waitForVerdict() -> Task<CrashJudgement>
+auto ModelRun::waitForVerdict() -> Task<CrashAssessment>
 {
     return state.crashes.waitForVerdict (
         worker.loop, fingerprint, record->identity().service,
@@ -215,7 +215,7 @@
 
 auto ModelRun::replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>
 {
-    if (! mayShowCrash (outcome))
+    if (! mayIndicateCrash (outcome))
         co_return "not_asked";
 
     WatchedAttempt ended { fingerprint, idText, account->name, lastNumber, lastReplica, SteadyClock::now() };
@@ -320,7 +320,7 @@
     auto usage = firstUsage.value_or (Usage {});
     usage.completionTokens = earlierTokens + attemptTokens;
     record->finish (finishReason, usage);
-    state.crashes.table().noteSuccess (fingerprint, SteadyClock::now());
+    state.crashes.table().recordSuccess (fingerprint, SteadyClock::now());
     return {};
 }
 
@@ -366,7 +366,7 @@
         firstUsage = usage;
 
     attemptTokens = usage.completionTokens;
-    record->noteUsage (*firstUsage, earlierTokens + attemptTokens);
+    record->updateUsage (*firstUsage, earlierTokens + attemptTokens);
 }
 
 auto ModelRun::waitForRoom() -> Task<void>
@@ -407,7 +407,7 @@
 auto ModelRun::afterFailure (const AttemptOutcome& outcome) -> RetryDecision
 {
     if (outcome.cause != FailureCause::moved)
-        noteFailed (failures, outcome);
+        recordFailure (failures, outcome);
 
     RetryInput input;
     input.repeatable = true;
@@ -422,17 +422,18 @@
     mayHaveRun = mayHaveRun || ranAfter (outcome) != Ran::no;
 
     if (upstreamProblem)
-        decision.again = false;
+        decision.shouldRetry = false;
 
-    if (decision.again && decision.takesBudget && ! state.retryBudgets.take (account->name, service->name))
-        decision.again = false;
+    if (decision.shouldRetry && decision.takesBudget &&
+        ! state.retryBudgets.take (account->name, service->name))
+        decision.shouldRetry = false;
 
-    if (decision.again && outcome.cause == FailureCause::moved)
+    if (decision.shouldRetry && outcome.cause == FailureCause::moved)
     {
         interruptCause.reset();
         state.counts.moves.add();
     }
-    else if (decision.again)
+    else if (decision.shouldRetry)
     {
         state.counts.retries.add();
     }
--- a/modules/snowrudder_router/model/ModelRun.h
+++ b/modules/snowrudder_router/model/ModelRun.h
@@ -49,7 +49,7 @@
     auto run (std::shared_ptr<AdmittedRequest> admitted) -> Task<void>;
     auto runAttempts() -> Task<void>;
     auto attempt() -> Task<Outcome>;
-    auto waitForVerdict() -> Task<CrashJudgement>;
+    auto waitForVerdict() -> Task<CrashAssessment>;
     auto replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>;
     auto callReplica (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Outcome>;
     auto takeRefusal (UpstreamCall& call) -> Task<Outcome>;
--- a/modules/snowrudder_router/model/RecordRelay.cpp
+++ b/modules/snowrudder_router/model/RecordRelay.cpp
@@ -84,7 +84,7 @@
         if (co_await exchange.writePiece (events))
             co_return;
 
-        record.noteRead (after);
+        record.updateReadPosition (after);
 
         if (part.ended)
             break;
@@ -131,7 +131,7 @@
     const auto error = co_await exchange.respond (std::move (response));
 
     if (! error)
-        record.noteWholeRead();
+        record.markReadToEnd();
 }
 
 } // namespace
--- a/modules/snowrudder_router/model/RequestHandover.cpp
+++ b/modules/snowrudder_router/model/RequestHandover.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto handTime = 1s;
 
-auto toMessage (const HandedState& handed) -> schema::HandedRequest
+auto toMessage (const HandoverState& handed) -> schema::HandedRequest
 {
     const auto& about = handed.identity;
     const auto left =
@@ -159,7 +159,7 @@
     }
 
     // The same request handed over twice is taken once.
-    if (state.requests.addHanded (record) != record)
+    if (state.requests.addHandedOver (record) != record)
         return true;
 
     LogLine ("request_taken_over")
@@ -171,7 +171,7 @@
     if (run)
         run->start (nullptr);
     else
-        state.requests.noteEnded (record, SteadyClock::now());
+        state.requests.markEnded (record, SteadyClock::now());
 
     return true;
 }
--- a/modules/snowrudder_router/once/OnceHandler.cpp
+++ b/modules/snowrudder_router/once/OnceHandler.cpp
@@ -62,7 +62,7 @@
     const auto ran = isAnswered ? Ran::yes : record->problem().ran;
 
     const std::lock_guard lock (state.once.mutex);
-    state.once.table.noteEnd (account, key, ran, isAnswered);
+    state.once.table.recordEnd (account, key, ran, isAnswered);
 }
 
 auto makeCall (RouterState& state,
--- a/modules/snowrudder_router/once/SlotHandover.cpp
+++ b/modules/snowrudder_router/once/SlotHandover.cpp
@@ -126,7 +126,7 @@
 
     {
         const std::lock_guard lock (state.once.mutex);
-        state.once.table.giveUp (handed.slot());
+        state.once.table.releaseSlot (handed.slot());
         expected = state.once.view.slots[handed.slot()].version;
     }
 
@@ -170,10 +170,10 @@
     const std::shared_ptr<RequestRecord> record = std::make_unique<RequestRecord> (std::move (identity));
     record->finish (
         KeptAnswer { handed.answer().status(), handed.answer().content_type(), handed.answer().body() });
-    auto kept = state.requests.addHanded (record);
+    auto kept = state.requests.addHandedOver (record);
 
     if (kept == record)
-        state.requests.noteEnded (record, SteadyClock::now());
+        state.requests.markEnded (record, SteadyClock::now());
 
     return kept;
 }
--- a/modules/snowrudder_router/once/SlotKeeper.cpp
+++ b/modules/snowrudder_router/once/SlotKeeper.cpp
@@ -74,7 +74,7 @@
 
         const std::lock_guard lock (once.mutex);
         once.view = std::move (view);
-        state.hasOwners = state.hasOwners || isWhollyOwned (once.view);
+        state.hasOwners = state.hasOwners || areAllSlotsOwned (once.view);
         adoptSlots();
         once.table.dropOld (wallTimeNow());
         co_return true;
@@ -94,7 +94,7 @@
                                 once.lease != 0 && found->second.lease == once.lease;
 
             if (! isMine)
-                once.table.giveUp (slot);
+                once.table.releaseSlot (slot);
             else if (! once.table.owns (slot))
                 adopt (slot, found->second);
         }
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -61,7 +61,7 @@
     for (;;)
     {
         const auto now = SteadyClock::now();
-        auto news = state.crashes.table().takeToTell (mostEvidenceTold);
+        auto news = state.crashes.table().takeUnsent (mostEvidenceTold);
 
         if (! news.empty())
         {
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -52,7 +52,7 @@
     co_return answer;
 }
 
-auto waitForVerdict (RouterState& state, Worker& worker, const PlainCallInput& input) -> Task<CrashJudgement>
+auto waitForVerdict (RouterState& state, Worker& worker, const PlainCallInput& input) -> Task<CrashAssessment>
 {
     return state.crashes.waitForVerdict (worker.loop, input.fingerprint, input.service->name,
                                          [end = input.deadline] { return SteadyClock::now() >= end; });
@@ -67,7 +67,7 @@
 {
     const auto* outcome = std::get_if<AttemptOutcome> (&result);
 
-    if (outcome == nullptr || ! mayShowCrash (*outcome))
+    if (outcome == nullptr || ! mayIndicateCrash (*outcome))
         co_return "not_asked";
 
     WatchedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
@@ -101,11 +101,11 @@
 
     for (auto attempt = std::uint32_t { 1 };; ++attempt)
     {
-        const auto judgement = co_await waitForVerdict (state, worker, input);
+        const auto assessment = co_await waitForVerdict (state, worker, input);
 
-        if (judgement.verdict == CrashVerdict::stopped)
+        if (assessment.verdict == CrashVerdict::stopped)
         {
-            state.crashes.noteStopped (input.fingerprint, idText, judgement, SteadyClock::now());
+            state.crashes.recordStopped (input.fingerprint, idText, assessment, SteadyClock::now());
             co_return problemWhenStopped (retry.mayHaveRun);
         }
 
@@ -118,7 +118,7 @@
         const CrashWatch::Running running (state.crashes, input.fingerprint);
         ChoiceInput choice;
         choice.tried = tried;
-        const SuspectRanking ranking (state.crashes.table(), input.fingerprint, judgement, 0.0);
+        const SuspectRanking ranking (state.crashes.table(), input.fingerprint, assessment, 0.0);
         ranking.applyTo (choice);
 
         AttemptResult result = AttemptOutcome { CallStage::planned, FailureCause::noReplica };
@@ -141,18 +141,18 @@
             co_return std::move (*answer);
 
         const auto outcome = std::get<AttemptOutcome> (result);
-        noteFailed (failures, outcome);
+        recordFailure (failures, outcome);
         retry.attempts = countedAttempts (failures, 0);
         retry.jitter = drawJitter();
         auto decision = decideAfterFailure (outcome, retry, SteadyClock::now());
         retry.mayHaveRun = retry.mayHaveRun || ranAfter (outcome) != Ran::no;
 
-        if (decision.again && decision.takesBudget)
-            decision.again = state.retryBudgets.take (input.account->name, input.service->name);
+        if (decision.shouldRetry && decision.takesBudget)
+            decision.shouldRetry = state.retryBudgets.take (input.account->name, input.service->name);
 
         attemptFailed (idText, attempt, outcome, decision).with ("replica_address", after).info();
 
-        if (! decision.again)
+        if (! decision.shouldRetry)
             co_return problemAfter (outcome, decision);
 
         requireInvariant (input.repeatable || ! retry.mayHaveRun,
--- a/modules/snowrudder_router/plain/PlainHandler.cpp
+++ b/modules/snowrudder_router/plain/PlainHandler.cpp
@@ -145,7 +145,7 @@
 auto noteAnswer (RouterState& state, const PlainCallInput& input, const UpstreamCall& call) -> void
 {
     if (call.hasSucceeded())
-        state.crashes.table().noteSuccess (input.fingerprint, SteadyClock::now());
+        state.crashes.table().recordSuccess (input.fingerprint, SteadyClock::now());
 }
 
 /** Keeps a small answer, so that its caller can ask for it by the request's identifier. */
@@ -163,7 +163,7 @@
     record->finish (
         KeptAnswer { call.status(), std::string (call.header()[http::field::content_type]), answer.body });
     state.requests.add (record, noKey);
-    state.requests.noteEnded (record, SteadyClock::now());
+    state.requests.markEnded (record, SteadyClock::now());
 }
 
 auto relayDirectly (RouterState& state, Worker& worker, Exchange& exchange, const PlainCallInput& input)
@@ -205,7 +205,7 @@
     if (! place.granted)
     {
         record->fail (problemOf (place));
-        state.requests.noteEnded (record, SteadyClock::now());
+        state.requests.markEnded (record, SteadyClock::now());
         co_return;
     }
 
@@ -215,7 +215,7 @@
     if (auto* problem = std::get_if<Problem> (&result))
     {
         record->fail (std::move (*problem));
-        state.requests.noteEnded (record, SteadyClock::now());
+        state.requests.markEnded (record, SteadyClock::now());
         co_return;
     }
 
@@ -231,7 +231,7 @@
         record->finish (std::move (kept));
 
     noteAnswer (state, input, call);
-    state.requests.noteEnded (record, SteadyClock::now());
+    state.requests.markEnded (record, SteadyClock::now());
 }
 
 /** Tells a repeated key's request from another. */
--- a/modules/snowrudder_serving/attempt/AttemptErrors.cpp
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.cpp
@@ -52,7 +52,7 @@
     line.with ("request", requestId)
         .with ("attempt", attempt)
         .with ("cause", toString (outcome.cause))
-        .with ("again", decision.again ? "yes" : "no");
+        .with ("again", decision.shouldRetry ? "yes" : "no");
     return line;
 }
 
--- a/modules/snowrudder_serving/crashes/CrashWatch.cpp
+++ b/modules/snowrudder_serving/crashes/CrashWatch.cpp
@@ -55,11 +55,11 @@
 
     if (const auto proof = crashProof (listing, state); ! proof.empty())
     {
-        noteCrash (attempt, proof);
+        recordCrash (attempt, proof);
     }
     else
     {
-        noteOpenEnd (attempt);
+        recordUnconfirmedCrash (attempt);
         noteDoubt (std::move (attempt));
     }
 
@@ -68,9 +68,9 @@
 
 auto CrashWatch::lookAgain (SharedProbes& probes, TimePoint now) -> void
 {
-    for (const auto& end : crashes.openEnds (now))
+    for (const auto& end : crashes.unconfirmedCrashes (now))
         if (const auto heard = replicas.heardOf (end.replica))
-            crashes.noteAlive (end.replica, *heard);
+            crashes.recordAlive (end.replica, *heard);
 
     std::vector<WatchedAttempt> inDoubt;
 
@@ -86,7 +86,7 @@
         const auto listing = replicas.listing (attempt.number);
 
         if (const auto proof = crashProof (listing, EndpointState::accepts); ! proof.empty())
-            noteCrash (attempt, proof);
+            recordCrash (attempt, proof);
         else if (listing == ReplicaListing::gone)
             lapsed[attempt.number].push_back (std::move (attempt));
         else if (listing == ReplicaListing::listed && now - attempt.ended <= doubtTime)
@@ -114,7 +114,7 @@
         co_return;
 
     for (const auto& attempt : lapsed)
-        noteCrash (attempt, proof);
+        recordCrash (attempt, proof);
 }
 
 auto CrashWatch::hear (const std::vector<CrashEvidence>& heard,
@@ -126,7 +126,7 @@
 
     for (const auto& evidence : heard)
     {
-        if (! crashes.hear (evidence, isToTell, now))
+        if (! crashes.merge (evidence, isToTell, now))
             continue;
 
         isNews = true;
@@ -134,14 +134,14 @@
         for (const auto& crash : evidence.crashes)
             replicas.noteEnded (crash.replica, crash.at);
 
-        const auto judgement = crashes.judge (evidence.request, now);
+        const auto assessment = crashes.assess (evidence.request, now);
         LogLine ("crashes_heard")
             .with ("fingerprint", snowrudder::toString (evidence.request))
             .with ("from", from)
-            .with ("crashes", judgement.crashes)
-            .with ("open_ends", judgement.openEnds)
+            .with ("crashes", assessment.crashes)
+            .with ("open_ends", assessment.unconfirmedCrashes)
             .with ("age_milliseconds", inMilliseconds (now - evidence.lastSeen))
-            .with ("verdict", toString (judgement.verdict))
+            .with ("verdict", toString (assessment.verdict))
             .info();
     }
 
@@ -149,43 +149,43 @@
         onNews();
 }
 
-auto CrashWatch::noteStopped (const RequestFingerprint& request,
-                              std::string_view requestId,
-                              const CrashJudgement& judgement,
-                              TimePoint now) -> void
+auto CrashWatch::recordStopped (const RequestFingerprint& request,
+                                std::string_view requestId,
+                                const CrashAssessment& assessment,
+                                TimePoint now) -> void
 {
-    crashes.noteStopped (request, now);
+    crashes.recordStopped (request, now);
     requestsStopped.add();
     LogLine ("request_stopped")
         .with ("request", requestId)
         .with ("fingerprint", snowrudder::toString (request))
-        .with ("crashes", judgement.crashes)
-        .with ("last_crash_milliseconds", inMilliseconds (now - judgement.lastCrash))
+        .with ("crashes", assessment.crashes)
+        .with ("last_crash_milliseconds", inMilliseconds (now - assessment.lastCrash))
         .info();
 }
 
 auto CrashWatch::waitForVerdict (asio::io_context& loop,
                                  RequestFingerprint request,
                                  std::string service,
-                                 std::function<bool()> isOver) -> Task<CrashJudgement>
+                                 std::function<bool()> isOver) -> Task<CrashAssessment>
 {
-    auto judgement = crashes.judge (request, SteadyClock::now());
+    auto assessment = crashes.assess (request, SteadyClock::now());
 
-    if (mustPause (judgement))
+    if (shouldPause (assessment))
     {
         co_await pauseFor (loop,
-                           std::chrono::duration_cast<Duration> (pauseBound (judgement) * drawJitter()));
-        judgement = crashes.judge (request, SteadyClock::now());
+                           std::chrono::duration_cast<Duration> (maxPauseFor (assessment) * drawJitter()));
+        assessment = crashes.assess (request, SteadyClock::now());
     }
 
-    while (judgement.verdict != CrashVerdict::clear &&
-           mustWait (judgement, surroundings (request, service)) && ! isOver())
+    while (assessment.verdict != CrashVerdict::clear &&
+           shouldWait (assessment, surroundings (request, service)) && ! isOver())
     {
-        co_await pauseFor (loop, verdictLook);
-        judgement = crashes.judge (request, SteadyClock::now());
+        co_await pauseFor (loop, verdictPollInterval);
+        assessment = crashes.assess (request, SteadyClock::now());
     }
 
-    co_return judgement;
+    co_return assessment;
 }
 
 CrashWatch::Running::Running (CrashWatch& crashWatch, const RequestFingerprint& request)
@@ -212,12 +212,12 @@
         .set (static_cast<std::int64_t> (sizes.stopped));
 }
 
-auto CrashWatch::noteCrash (const WatchedAttempt& attempt, std::string_view proof) -> void
+auto CrashWatch::recordCrash (const WatchedAttempt& attempt, std::string_view proof) -> void
 {
     const auto crash = endOf (attempt);
     replicas.noteEnded (crash.replica, crash.at);
-    const auto isNews = crashes.noteCrash (attempt.request, attempt.account, crash);
-    const auto judgement = crashes.judge (attempt.request, SteadyClock::now());
+    const auto isNews = crashes.recordCrash (attempt.request, attempt.account, crash);
+    const auto assessment = crashes.assess (attempt.request, SteadyClock::now());
     crashesSeen.add();
     LogLine ("crash_evidence")
         .with ("request", attempt.requestId)
@@ -226,18 +226,18 @@
         .with ("account", attempt.account)
         .with ("replica", attempt.replica.name)
         .with ("proof", proof)
-        .with ("crashes", judgement.crashes)
-        .with ("verdict", toString (judgement.verdict))
+        .with ("crashes", assessment.crashes)
+        .with ("verdict", toString (assessment.verdict))
         .info();
 
     if (isNews && onNews)
         onNews();
 }
 
-auto CrashWatch::noteOpenEnd (const WatchedAttempt& attempt) -> void
+auto CrashWatch::recordUnconfirmedCrash (const WatchedAttempt& attempt) -> void
 {
-    const auto isNews =
-        crashes.noteOpenEnd (attempt.request, attempt.account, endOf (attempt), SteadyClock::now());
+    const auto isNews = crashes.recordUnconfirmedCrash (attempt.request, attempt.account, endOf (attempt),
+                                                        SteadyClock::now());
 
     if (isNews && onNews)
         onNews();
@@ -263,11 +263,11 @@
 }
 
 auto CrashWatch::surroundings (const RequestFingerprint& request, const std::string& service) const
-    -> SuspectSurroundings
+    -> SuspectContext
 {
-    SuspectSurroundings around;
+    SuspectContext around;
     constexpr auto scarceShare = 0.5;
-    around.isScarce =
+    around.areReplicasScarce =
         replicas.capacity (service, SteadyClock::now()).slots < scarceShare * replicas.totals (service).slots;
 
     const std::lock_guard lock (mutex);
--- a/modules/snowrudder_serving/crashes/CrashWatch.h
+++ b/modules/snowrudder_serving/crashes/CrashWatch.h
@@ -68,16 +68,16 @@
         -> void;
 
     /** @returns whether a request may be sent to a replica now. */
-    [[nodiscard]] auto judge (const RequestFingerprint& request, TimePoint now) const -> CrashJudgement
+    [[nodiscard]] auto assess (const RequestFingerprint& request, TimePoint now) const -> CrashAssessment
     {
-        return crashes.judge (request, now);
+        return crashes.assess (request, now);
     }
 
     /** Notes and logs that a request was not sent because of a verdict. */
-    auto noteStopped (const RequestFingerprint& request,
-                      std::string_view requestId,
-                      const CrashJudgement& judgement,
-                      TimePoint now) -> void;
+    auto recordStopped (const RequestFingerprint& request,
+                        std::string_view requestId,
+                        const CrashAssessment& assessment,
+                        TimePoint now) -> void;
 
     /** Waits until a request may be sent or is stopped: a suspected one runs once at a time here, and after several crashes
         it lets other nodes' evidence arrive first.
@@ -88,7 +88,7 @@
     auto waitForVerdict (asio::io_context& loop,
                          RequestFingerprint request,
                          std::string service,
-                         std::function<bool()> isOver) -> Task<CrashJudgement>;
+                         std::function<bool()> isOver) -> Task<CrashAssessment>;
 
     [[nodiscard]] auto table() -> CrashTable& { return crashes; }
 
@@ -111,14 +111,14 @@
     std::function<void()> onNews;
 
 private:
-    auto noteCrash (const WatchedAttempt& attempt, std::string_view proof) -> void;
-    auto noteOpenEnd (const WatchedAttempt& attempt) -> void;
+    auto recordCrash (const WatchedAttempt& attempt, std::string_view proof) -> void;
+    auto recordUnconfirmedCrash (const WatchedAttempt& attempt) -> void;
     auto noteDoubt (WatchedAttempt attempt) -> void;
     [[nodiscard]] auto endOf (const WatchedAttempt& attempt) const -> ReplicaCrash;
     /** @param lapsed  attempts on one replica whose entry is gone */
     auto examineLapsed (SharedProbes& probes, std::vector<WatchedAttempt> lapsed) -> Task<void>;
     [[nodiscard]] auto surroundings (const RequestFingerprint& request, const std::string& service) const
-        -> SuspectSurroundings;
+        -> SuspectContext;
 
     ReplicaTable& replicas;
     const ReplicaNaming naming;
--- a/modules/snowrudder_serving/crashes/SuspectRanking.h
+++ b/modules/snowrudder_serving/crashes/SuspectRanking.h
@@ -19,14 +19,13 @@
 public:
     SuspectRanking (const CrashTable& crashes,
                     const RequestFingerprint& request,
-                    const CrashJudgement& judgement,
+                    const CrashAssessment& assessment,
                     double promptTokens)
-        : isSuspect (judgement.verdict != CrashVerdict::clear), block { anchorOf (request) }, blockTokens {
-              std::max (promptTokens, leastTokens)
-          }
+        : isSuspect (assessment.verdict != CrashVerdict::clear), block { rankingHash (request) },
+          blockTokens { std::max (promptTokens, leastTokens) }
     {
-        if (isSuspect && judgement.crashes >= crashesToPause)
-            others = crashes.suspectAnchors();
+        if (isSuspect && assessment.crashes >= crashesToPause)
+            others = crashes.suspectRankingHashes();
     }
 
     /** Changes nothing for a request that is clear. The input refers to this object from then on. */
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -58,12 +58,12 @@
                    const RequestFingerprint& fingerprint,
                    TimePoint now) -> std::optional<Problem>
 {
-    const auto judgement = state.crashes.judge (fingerprint, now);
+    const auto assessment = state.crashes.assess (fingerprint, now);
 
-    if (judgement.verdict != CrashVerdict::stopped)
+    if (assessment.verdict != CrashVerdict::stopped)
         return {};
 
-    state.crashes.noteStopped (fingerprint, caller.id, judgement, now);
+    state.crashes.recordStopped (fingerprint, caller.id, assessment, now);
     return makeProblem (ErrorKind::crashesReplicas, "fingerprint " + toString (fingerprint));
 }
 
--- a/modules/snowrudder_serving/members/DatagramCodec.cpp
+++ b/modules/snowrudder_serving/members/DatagramCodec.cpp
@@ -179,7 +179,7 @@
 {
     message.set_replica (crash.replica);
     message.set_age_milliseconds (asMilliseconds (now - crash.at));
-    message.set_names_one_start (crash.namesOneStart);
+    message.set_names_one_start (crash.identifiesIncarnation);
 }
 
 auto write (const CrashNotice& notice, TimePoint now, schema::CrashNotice& message) -> void
@@ -194,13 +194,13 @@
         written->set_account (evidence.account);
         written->set_seen_milliseconds (asMilliseconds (now - evidence.lastSeen));
 
-        if (evidence.succeeded)
-            written->set_succeeded_milliseconds (asMilliseconds (now - *evidence.succeeded));
+        if (evidence.lastSuccess)
+            written->set_succeeded_milliseconds (asMilliseconds (now - *evidence.lastSuccess));
 
         for (const auto& crash : evidence.crashes)
             write (crash, now, *written->add_crashes());
 
-        for (const auto& end : standingOpenEnds (evidence, now))
+        for (const auto& end : pendingUnconfirmedCrashes (evidence, now))
             write (end, now, *written->add_open_ends());
     }
 }
@@ -289,13 +289,13 @@
     evidence.lastSeen = now - milliseconds (message.seen_milliseconds());
 
     if (message.has_succeeded_milliseconds())
-        evidence.succeeded = now - milliseconds (message.succeeded_milliseconds());
+        evidence.lastSuccess = now - milliseconds (message.succeeded_milliseconds());
 
     for (const auto& crash : message.crashes())
         evidence.crashes.push_back (read (crash, now));
 
     for (const auto& end : message.open_ends())
-        evidence.openEnds.push_back (read (end, now));
+        evidence.unconfirmedCrashes.push_back (read (end, now));
 
     return evidence;
 }
--- a/modules/snowrudder_serving/members/Membership.cpp
+++ b/modules/snowrudder_serving/members/Membership.cpp
@@ -228,7 +228,7 @@
         endpointsOfOthers.push_back (endpoint);
 
     state.sharing.members = members.size();
-    state.retryBudgets.setMostSaved (state.savedRetries());
+    state.retryBudgets.setMaxSaved (state.savedRetries());
     noteReaders (members, endpoints);
 }
 
--- a/modules/snowrudder_serving/members/PeerExchange.cpp
+++ b/modules/snowrudder_serving/members/PeerExchange.cpp
@@ -332,7 +332,7 @@
 
 auto PeerExchange::tellCrashes (TimePoint now) -> bool
 {
-    CrashNotice notice { state.settings.node, state.crashes.table().takeToTell (mostEvidenceTold) };
+    CrashNotice notice { state.settings.node, state.crashes.table().takeUnsent (mostEvidenceTold) };
 
     if (notice.evidence.empty())
         return false;
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -161,7 +161,7 @@
             state.publishDirectory (now);
 
         state.crashes.lookAgain (state.probes, now);
-        state.crashes.table().forgetOld (now);
+        state.crashes.table().removeExpired (now);
 
         if (state.configuration.current)
             state.pool.setMostIdle (mostIdleConnections (*state.configuration.current, state.memberCount()));
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -88,7 +88,7 @@
         const auto outcome = co_await attempt();
 
         if (outcome)
-            noteFailed (failures, *outcome);
+            recordFailure (failures, *outcome);
 
         if (! outcome || isCallerGone)
             break;
@@ -107,7 +107,7 @@
             .with ("ran", toString (ranAfter (*outcome)))
             .info();
 
-        if (! decision.again)
+        if (! decision.shouldRetry)
         {
             co_await fail (*outcome, decision);
             co_return;
@@ -128,12 +128,12 @@
 
 auto RoutedRun::attempt() -> Task<Failure>
 {
-    const auto judgement = co_await waitForVerdict();
+    const auto assessment = co_await waitForVerdict();
     ++sends;
 
-    if (judgement.verdict == CrashVerdict::stopped)
+    if (assessment.verdict == CrashVerdict::stopped)
     {
-        state.crashes.noteStopped (request.fingerprint, request.caller.id, judgement, SteadyClock::now());
+        state.crashes.recordStopped (request.fingerprint, request.caller.id, assessment, SteadyClock::now());
         co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
     }
 
@@ -142,7 +142,7 @@
         co_return AttemptOutcome { CallStage::planned,
                                    isCallerGone ? FailureCause::abandoned : FailureCause::deadline };
 
-    auto taken = takeReplica (judgement);
+    auto taken = takeReplica (assessment);
 
     if (! taken)
     {
@@ -322,7 +322,7 @@
 
 auto RoutedRun::replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>
 {
-    if (! mayShowCrash (outcome))
+    if (! mayIndicateCrash (outcome))
         co_return "not_asked";
 
     WatchedAttempt ended { request.fingerprint, request.caller.id, request.accountName(),
@@ -330,7 +330,7 @@
     co_return co_await state.crashes.examine (state.probes, std::move (ended));
 }
 
-auto RoutedRun::waitForVerdict() -> Task<CrashJudgement>
+auto RoutedRun::waitForVerdict() -> Task<CrashAssessment>
 {
     return state.crashes.waitForVerdict (state.loop, request.fingerprint, request.service,
                                          [this]
@@ -354,10 +354,10 @@
     return hasRetryInHand ? rule : ruleOf (false);
 }
 
-auto RoutedRun::takeReplica (const CrashJudgement& judgement) -> std::optional<TakenReplica>
+auto RoutedRun::takeReplica (const CrashAssessment& assessment) -> std::optional<TakenReplica>
 {
     const auto now = SteadyClock::now();
-    const SuspectRanking ranking (state.crashes.table(), request.fingerprint, judgement, prompt.tokens);
+    const SuspectRanking ranking (state.crashes.table(), request.fingerprint, assessment, prompt.tokens);
     auto input = choiceInput (prompt, tried, state.nodeCount (now), drawNumber());
     ranking.applyTo (input);
 
@@ -419,11 +419,11 @@
     auto decision = decideAfterFailure (outcome, input, SteadyClock::now());
     events.dropPartial();
 
-    if (decision.again && decision.takesBudget)
-        decision.again =
+    if (decision.shouldRetry && decision.takesBudget)
+        decision.shouldRetry =
             std::exchange (hasRetryInHand, false) || state.retryBudgets.take ({}, request.service);
 
-    if (decision.again && exchange.hasBegun())
+    if (decision.shouldRetry && exchange.hasBegun())
         state.counts.resumed.add();
 
     return decision;
@@ -475,7 +475,7 @@
 auto RoutedRun::noteWhole (const UpstreamCall& call) -> void
 {
     if (call.hasSucceeded())
-        state.crashes.table().noteSuccess (request.fingerprint, SteadyClock::now());
+        state.crashes.table().recordSuccess (request.fingerprint, SteadyClock::now());
 }
 
 auto RoutedRun::notePause() -> void
--- a/modules/snowrudder_serving/relay/RoutedRun.h
+++ b/modules/snowrudder_serving/relay/RoutedRun.h
@@ -33,11 +33,11 @@
     auto enterQueue() -> Task<ServiceQueues::Place>;
     auto runAttempts() -> Task<void>;
     auto attempt() -> Task<Failure>;
-    auto waitForVerdict() -> Task<CrashJudgement>;
+    auto waitForVerdict() -> Task<CrashAssessment>;
     [[nodiscard]] auto ruleOf (bool isFirst) const -> VersionRule;
     /** @returns the rule for the present attempt; an unproved version gets it only with a retry in hand. */
     auto affordableRule() -> VersionRule;
-    auto takeReplica (const CrashJudgement& judgement) -> std::optional<TakenReplica>;
+    auto takeReplica (const CrashAssessment& assessment) -> std::optional<TakenReplica>;
     auto takeByRule (ChoiceInput input, const VersionRule& rule, TimePoint now)
         -> std::optional<TakenReplica>;
     auto noteForRollout (const ReplicaTicket& ticket, const Failure& outcome, const UpstreamCall& call)
@@ -59,7 +59,7 @@
     /** @returns attempts that may have run, the present one included. */
     [[nodiscard]] auto runs() const -> std::uint32_t
     {
-        return sends - failures.declined - failures.metNobody;
+        return sends - failures.declined - failures.staleEntries;
     }
     [[nodiscard]] auto attemptFields (const ReplicaTicket& ticket) const -> AttemptFields;
     [[nodiscard]] auto timeouts() const -> CallTimeouts;
--- a/tests/bench/ServingWorld.cpp
+++ b/tests/bench/ServingWorld.cpp
@@ -365,10 +365,10 @@
     input.jitter = static_cast<double> (time.draw (0, 1000)) / 1000.0;
     auto decision = decideAfterFailure (outcome, input, time.now());
 
-    if (decision.again && decision.takesBudget)
-        decision.again = routers[request.router].budgets.take (request.planned.kind->key(), service);
+    if (decision.shouldRetry && decision.takesBudget)
+        decision.shouldRetry = routers[request.router].budgets.take (request.planned.kind->key(), service);
 
-    if (decision.again)
+    if (decision.shouldRetry)
     {
         time.after (decision.pause + 1ms, [this, index] { attempt (index); });
         return;
--- a/tests/random/KeyedWorld.cpp
+++ b/tests/random/KeyedWorld.cpp
@@ -159,7 +159,7 @@
 
         if (! isMine)
         {
-            router.table.giveUp (slot);
+            router.table.releaseSlot (slot);
             continue;
         }
 
@@ -271,7 +271,7 @@
         auto entries =
             breakage == Breakage::handsOverNoKeys ? std::vector<KeyEntry> {} : router.table.entriesOf (slot);
         heir->inheritances[slot] = { held.epoch + 1, held.knownSince, std::move (entries) };
-        router.table.giveUp (slot);
+        router.table.releaseSlot (slot);
 
         SlotRecord record { heirName, "127.0.0.1:1", held.epoch + 1, others.owners[heirName], 0, 0 };
         keyValues.swap (slotKey (slot), router.view.slots[slot].version, toText (record), 0);
@@ -406,7 +406,7 @@
     input.jitter = static_cast<double> (time.draw (0, 100)) / 100.0;
     auto decision = decideAfterFailure (outcome, input, time.now());
 
-    if (decision.again)
+    if (decision.shouldRetry)
     {
         const auto maybe = mayHaveRun || ranAfter (outcome) != Ran::no;
         onRouter (index, incarnation, delay + decision.pause,
@@ -434,7 +434,7 @@
     if (breakage == Breakage::forgetsUncertainKeys && ! isAnswered)
         ran = Ran::no;
 
-    routers[index].table.noteEnd (entry.account, entry.key, ran, isAnswered);
+    routers[index].table.recordEnd (entry.account, entry.key, ran, isAnswered);
 }
 
 auto KeyedWorld::faults() -> void
--- a/tests/random/StreamWorld.cpp
+++ b/tests/random/StreamWorld.cpp
@@ -278,7 +278,7 @@
     input.jitter = static_cast<double> (time.draw (0, 100)) / 100.0;
     const auto decision = decideAfterFailure (outcome, input, time.now());
 
-    if (decision.again)
+    if (decision.shouldRetry)
         time.after (decision.pause + 1ms, [this, index] { attempt (index); });
     else
         request.record->fail (makeProblem (decision.kind, decision.ran, ""));
--- a/tests/unit/CrashProofTests.cpp
+++ b/tests/unit/CrashProofTests.cpp
@@ -16,7 +16,7 @@
     @param crashed  replicas, the last ones, that have crashed indeed
     @returns        what is known of the body afterwards
 */
-auto judgeAfterLapse (std::size_t replicas, std::size_t lapsed, std::size_t crashed) -> CrashJudgement
+auto assessAfterLapse (std::size_t replicas, std::size_t lapsed, std::size_t crashed) -> CrashAssessment
 {
     CrashTable table;
     const auto body = fingerprintOf ("secret", { "alpha", "POST", "one.example", "/poll", "the same" });
@@ -29,10 +29,10 @@
         const auto address = number >= replicas - crashed ? EndpointState::refuses : EndpointState::accepts;
 
         if (! crashProof (listing, address).empty())
-            table.noteCrash (body, "alpha", { number + 1, now, true });
+            table.recordCrash (body, "alpha", { number + 1, now, true });
     }
 
-    return table.judge (body, now + 5s);
+    return table.assess (body, now + 5s);
 }
 
 } // namespace
@@ -64,9 +64,9 @@
     for (const auto lapsed : { replicas, replicas / 2, std::size_t { 1 } })
     {
         CAPTURE (lapsed);
-        CHECK (judgeAfterLapse (replicas, lapsed, 0).crashes == 0);
-        CHECK (judgeAfterLapse (replicas, lapsed, 2).crashes == 2);
-        CHECK (judgeAfterLapse (replicas, lapsed, 2).verdict == CrashVerdict::suspected);
-        CHECK (judgeAfterLapse (replicas, lapsed, 4).verdict == CrashVerdict::stopped);
+        CHECK (assessAfterLapse (replicas, lapsed, 0).crashes == 0);
+        CHECK (assessAfterLapse (replicas, lapsed, 2).crashes == 2);
+        CHECK (assessAfterLapse (replicas, lapsed, 2).verdict == CrashVerdict::suspected);
+        CHECK (assessAfterLapse (replicas, lapsed, 4).verdict == CrashVerdict::stopped);
     }
 }
--- a/tests/unit/CrashTests.cpp
+++ b/tests/unit/CrashTests.cpp
@@ -27,7 +27,7 @@
             int replica,
             TimePoint now) -> void
 {
-    table.noteCrash (request, account, { static_cast<std::uint64_t> (replica), now });
+    table.recordCrash (request, account, { static_cast<std::uint64_t> (replica), now });
 }
 
 /** Nodes that tell each other what is new, each message with a delay and some of them lost. */
@@ -47,12 +47,12 @@
             for (std::size_t from = 0; from < nodes.size(); ++from)
                 tell (from);
 
-            while (! onTheWay.empty() && onTheWay.begin()->first <= now)
+            while (! inFlight.empty() && inFlight.begin()->first <= now)
             {
-                const auto& [to, evidence] = onTheWay.begin()->second;
-                const auto isToTell = false;
-                nodes[to].hear (evidence, isToTell, now);
-                onTheWay.erase (onTheWay.begin());
+                const auto& [to, evidence] = inFlight.begin()->second;
+                const auto shouldForward = false;
+                nodes[to].merge (evidence, shouldForward, now);
+                inFlight.erase (inFlight.begin());
             }
         }
     }
@@ -63,16 +63,16 @@
     {
         return static_cast<std::size_t> (
             std::ranges::count_if (nodes, [&] (const CrashTable& table)
-                                   { return table.judge (request, now).verdict == CrashVerdict::stopped; }));
+                                   { return table.assess (request, now).verdict == CrashVerdict::stopped; }));
     }
 
 private:
     auto tell (std::size_t from) -> void
     {
-        for (const auto& evidence : nodes[from].takeToTell (100))
+        for (const auto& evidence : nodes[from].takeUnsent (100))
             for (std::size_t to = 0; to < nodes.size(); ++to)
                 if (to != from && std::uniform_real_distribution (0.0, 1.0) (random) >= lost)
-                    onTheWay.emplace (now + 1ms * std::uniform_int_distribution (1, 90) (random),
+                    inFlight.emplace (now + 1ms * std::uniform_int_distribution (1, 90) (random),
                                       std::pair (to, evidence));
     }
 
@@ -82,7 +82,7 @@
     double lost = 0.0;
     std::mt19937 random;
     TimePoint now = start;
-    std::multimap<TimePoint, std::pair<std::size_t, CrashEvidence>> onTheWay;
+    std::multimap<TimePoint, std::pair<std::size_t, CrashEvidence>> inFlight;
 };
 
 } // namespace
@@ -116,7 +116,7 @@
     crash (fleet.node (2), request, "alpha", 12, fleet.time());
     fleet.playUntil (start + 2s);
     CHECK (fleet.stoppedAt (request) == 0);
-    CHECK (fleet.node (5).judge (request, fleet.time()).crashes == 2);
+    CHECK (fleet.node (5).assess (request, fleet.time()).crashes == 2);
 
     crash (fleet.node (3), request, "alpha", 13, fleet.time());
     fleet.playUntil (start + 2s + 800ms);
@@ -149,9 +149,9 @@
         CrashTable table;
 
         for (const auto& evidence : told)
-            table.hear (evidence, false, start + 1s);
+            table.merge (evidence, false, start + 1s);
 
-        const auto judged = table.judge (request, start + 2s);
+        const auto judged = table.assess (request, start + 2s);
         CHECK (judged.verdict == CrashVerdict::stopped);
         CHECK (judged.crashes == 4);
         CHECK (judged.lastCrash == start + 400ms);
@@ -162,7 +162,7 @@
 {
     const auto poll = requestNamed ("status");
     Fleet fleet (7, 0.05, 3);
-    fleet.node (6).noteSuccess (poll, fleet.time());
+    fleet.node (6).recordSuccess (poll, fleet.time());
 
     // A failure domain's replicas end within a second, each with the poll running on it.
     for (const auto replica : { 1, 2, 3, 4, 5 })
@@ -173,7 +173,7 @@
 
     fleet.playUntil (start + 3s);
     CHECK (fleet.stoppedAt (poll) == 0);
-    CHECK (fleet.node (1).judge (poll, fleet.time()).verdict == CrashVerdict::clear);
+    CHECK (fleet.node (1).assess (poll, fleet.time()).verdict == CrashVerdict::clear);
 }
 
 TEST_CASE ("A success after the crashes clears a request at all nodes, also where it was stopped")
@@ -191,7 +191,7 @@
     REQUIRE (fleet.stoppedAt (request) == 7);
 
     // An attempt that was on its way before the verdict.
-    fleet.node (4).noteSuccess (request, fleet.time());
+    fleet.node (4).recordSuccess (request, fleet.time());
     fleet.playUntil (start + 5s);
     CHECK (fleet.stoppedAt (request) == 0);
 }
@@ -204,8 +204,8 @@
     for (const auto replica : { 1, 2, 3, 4 })
         crash (table, request, "alpha", replica, start + replica * 5ms);
 
-    CHECK (table.judge (request, start + 1s).crashes == 1);
-    CHECK (table.judge (request, start + 1s).verdict == CrashVerdict::suspected);
+    CHECK (table.assess (request, start + 1s).crashes == 1);
+    CHECK (table.assess (request, start + 1s).verdict == CrashVerdict::suspected);
 }
 
 TEST_CASE ("A request that ran beside one that ends its replicas is not taken for it")
@@ -222,8 +222,8 @@
         for (const auto replica : { 1, 2, 3 })
             crash (table, beside, "beta", replica, start + replica * 100ms);
 
-        CHECK (table.judge (fatal, start + 2s).verdict == CrashVerdict::stopped);
-        CHECK (table.judge (beside, start + 2s).verdict == CrashVerdict::suspected);
+        CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::stopped);
+        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::suspected);
     }
 
     SECTION ("where both ran on the same ones, both may run on until one is told from the other")
@@ -234,12 +234,12 @@
             crash (table, beside, "beta", replica, start + replica * 100ms);
         }
 
-        CHECK (table.judge (fatal, start + 2s).verdict == CrashVerdict::suspected);
-        CHECK (table.judge (beside, start + 2s).verdict == CrashVerdict::suspected);
+        CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::suspected);
+        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::suspected);
 
-        table.noteSuccess (beside, start + 2s);
-        CHECK (table.judge (fatal, start + 2s).verdict == CrashVerdict::stopped);
-        CHECK (table.judge (beside, start + 2s).verdict == CrashVerdict::clear);
+        table.recordSuccess (beside, start + 2s);
+        CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::stopped);
+        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::clear);
     }
 }
 
@@ -264,29 +264,29 @@
         auto now = start;
 
         // Each crash ends its replica's other requests too, and they go on at replicas drawn anew.
-        while (table.judge (fatal, now).verdict != CrashVerdict::stopped && crashes < 20)
+        while (table.assess (fatal, now).verdict != CrashVerdict::stopped && crashes < 20)
         {
             now += 150ms;
             const auto hit = random() % replicas;
             const auto incarnation = std::uint64_t { 1000 } * ++crashes + hit;
 
-            table.noteCrash (fatal, "alpha", { incarnation, now });
+            table.recordCrash (fatal, "alpha", { incarnation, now });
 
             for (auto& [caller, place] : places)
                 if (place == hit)
                 {
-                    table.noteCrash (requestNamed ("caller " + std::to_string (caller)), "beta",
-                                     { incarnation, now });
+                    table.recordCrash (requestNamed ("caller " + std::to_string (caller)), "beta",
+                                       { incarnation, now });
                     place = random() % replicas;
                 }
 
-            now += hearingTime;
+            now += evidenceWaitTime;
         }
 
         crashesInAll += crashes;
 
         for (auto caller = 0U; caller < 60; ++caller)
-            if (table.judge (requestNamed ("caller " + std::to_string (caller)), now).verdict ==
+            if (table.assess (requestNamed ("caller " + std::to_string (caller)), now).verdict ==
                 CrashVerdict::stopped)
                 ++stopped;
     }
@@ -303,11 +303,11 @@
     for (const auto replica : { 1, 2, 3 })
         crash (table, request, "alpha", replica, start + replica * 1s);
 
-    table.noteStopped (request, start + 9min);
-    table.forgetOld (start + 18min);
-    CHECK (table.judge (request, start + 18min).verdict == CrashVerdict::stopped);
-    table.forgetOld (start + 20min);
-    CHECK (table.judge (request, start + 20min).verdict == CrashVerdict::clear);
+    table.recordStopped (request, start + 9min);
+    table.removeExpired (start + 18min);
+    CHECK (table.assess (request, start + 18min).verdict == CrashVerdict::stopped);
+    table.removeExpired (start + 20min);
+    CHECK (table.assess (request, start + 20min).verdict == CrashVerdict::clear);
     CHECK (table.sizes (start + 20min).known == 0);
 }
 
@@ -322,8 +322,8 @@
     for (auto number = 0; number < 5000; ++number)
         crash (table, requestNamed (std::to_string (number)), "alpha", 100 + number, start + 5s);
 
-    CHECK (table.sizes (start + 6s).known == CrashTable::mostOfAccount + 1);
-    CHECK (table.judge (other, start + 6s).verdict == CrashVerdict::stopped);
+    CHECK (table.sizes (start + 6s).known == CrashTable::maxRequestsPerAccount + 1);
+    CHECK (table.assess (other, start + 6s).verdict == CrashVerdict::stopped);
 }
 
 TEST_CASE ("A node that missed all of it learns it from one that knows")
@@ -339,11 +339,11 @@
     CHECK (knows.digest (now) != started.digest (now));
 
     for (const auto& evidence : knows.all (40, now))
-        started.hear (evidence, false, now);
+        started.merge (evidence, false, now);
 
-    CHECK (started.judge (request, now).verdict == CrashVerdict::stopped);
+    CHECK (started.assess (request, now).verdict == CrashVerdict::stopped);
     CHECK (knows.digest (now) == started.digest (now));
-    CHECK (started.takeToTell (40).empty());
+    CHECK (started.takeUnsent (40).empty());
 }
 
 TEST_CASE ("A suspect waits for word of the replica that it ran on last")
@@ -352,38 +352,38 @@
     const auto request = requestNamed ("fatal");
     auto now = start;
     crash (table, request, "alpha", 1, now);
-    CHECK_FALSE (mustWait (table.judge (request, now), {}));
+    CHECK_FALSE (shouldWait (table.assess (request, now), {}));
 
     now += 200ms;
-    CHECK (table.noteOpenEnd (request, "alpha", { 2, now, true }, now));
-    CHECK_FALSE (table.noteOpenEnd (request, "alpha", { 2, now, true }, now));
-    CHECK (table.judge (request, now).openEnds == 1);
-    CHECK (mustWait (table.judge (request, now), {}));
+    CHECK (table.recordUnconfirmedCrash (request, "alpha", { 2, now, true }, now));
+    CHECK_FALSE (table.recordUnconfirmedCrash (request, "alpha", { 2, now, true }, now));
+    CHECK (table.assess (request, now).unconfirmedCrashes == 1);
+    CHECK (shouldWait (table.assess (request, now), {}));
 
     // The replica answers a request later.
-    table.noteAlive (2, now + 100ms);
-    CHECK_FALSE (mustWait (table.judge (request, now), {}));
+    table.recordAlive (2, now + 100ms);
+    CHECK_FALSE (shouldWait (table.assess (request, now), {}));
 
     // No word at all.
-    table.noteOpenEnd (request, "alpha", { 3, now, true }, now);
-    CHECK (mustWait (table.judge (request, now + openEndTime), {}));
-    CHECK_FALSE (mustWait (table.judge (request, now + openEndTime + 1ms), {}));
+    table.recordUnconfirmedCrash (request, "alpha", { 3, now, true }, now);
+    CHECK (shouldWait (table.assess (request, now + confirmationTimeout), {}));
+    CHECK_FALSE (shouldWait (table.assess (request, now + confirmationTimeout + 1ms), {}));
 
     // Proved.
-    table.noteOpenEnd (request, "alpha", { 4, now, true }, now);
-    table.noteCrash (request, "alpha", { 4, now, true });
-    CHECK (table.judge (request, now).openEnds == 1);
-    CHECK (table.judge (request, now).crashes == 2);
+    table.recordUnconfirmedCrash (request, "alpha", { 4, now, true }, now);
+    table.recordCrash (request, "alpha", { 4, now, true });
+    CHECK (table.assess (request, now).unconfirmedCrashes == 1);
+    CHECK (table.assess (request, now).crashes == 2);
 }
 
 TEST_CASE ("A request that succeeds elsewhere does not wait for word of a replica")
 {
     CrashTable table;
     const auto request = requestNamed ("poll");
-    table.noteSuccess (request, start);
-    CHECK_FALSE (table.noteOpenEnd (request, "alpha", { 1, start + 1s, true }, start + 1s));
-    CHECK_FALSE (table.noteOpenEnd (request, "alpha", { 2, start + 2s, true }, start + 2s));
-    CHECK (table.judge (request, start + 2s).verdict == CrashVerdict::clear);
+    table.recordSuccess (request, start);
+    CHECK_FALSE (table.recordUnconfirmedCrash (request, "alpha", { 1, start + 1s, true }, start + 1s));
+    CHECK_FALSE (table.recordUnconfirmedCrash (request, "alpha", { 2, start + 2s, true }, start + 2s));
+    CHECK (table.assess (request, start + 2s).verdict == CrashVerdict::clear);
 }
 
 TEST_CASE ("Open ends are told with the rest, and a proof told later takes their place")
@@ -391,17 +391,17 @@
     CrashTable saw;
     CrashTable heard;
     const auto request = requestNamed ("fatal");
-    saw.noteOpenEnd (request, "alpha", { 1, start, true }, start);
-    saw.noteOpenEnd (request, "alpha", { 2, start + 100ms, true }, start + 100ms);
-    const auto isToTell = false;
+    saw.recordUnconfirmedCrash (request, "alpha", { 1, start, true }, start);
+    saw.recordUnconfirmedCrash (request, "alpha", { 2, start + 100ms, true }, start + 100ms);
+    const auto shouldForward = false;
 
-    for (const auto& evidence : saw.takeToTell (10))
-        CHECK (heard.hear (evidence, isToTell, start + 200ms));
+    for (const auto& evidence : saw.takeUnsent (10))
+        CHECK (heard.merge (evidence, shouldForward, start + 200ms));
 
-    CHECK (heard.judge (request, start + 200ms).verdict == CrashVerdict::suspected);
-    CHECK (heard.judge (request, start + 200ms).openEnds == 2);
+    CHECK (heard.assess (request, start + 200ms).verdict == CrashVerdict::suspected);
+    CHECK (heard.assess (request, start + 200ms).unconfirmedCrashes == 2);
     crash (saw, request, "alpha", 1, start);
-    heard.hear (saw.takeToTell (10).front(), isToTell, start + 300ms);
-    CHECK (heard.judge (request, start + 300ms).openEnds == 1);
-    CHECK (heard.judge (request, start + 300ms).crashes == 1);
+    heard.merge (saw.takeUnsent (10).front(), shouldForward, start + 300ms);
+    CHECK (heard.assess (request, start + 300ms).unconfirmedCrashes == 1);
+    CHECK (heard.assess (request, start + 300ms).crashes == 1);
 }
--- a/tests/unit/CrashWorld.cpp
+++ b/tests/unit/CrashWorld.cpp
@@ -39,33 +39,33 @@
         caller.account = ! caller.isFatal    ? "others"
                          : plan.isOneAccount ? "one"
                                              : "one of " + std::to_string (index);
-        caller.until = now + draw (fatalPause);
+        caller.until = now + drawUpTo (fatalPause);
         callers.push_back (caller);
     }
 }
 
 auto CrashWorld::play() -> CrashOutcome
 {
-    const auto tellInterval = Duration (60ms);
-    auto nextTold = now;
+    const auto sendInterval = Duration (60ms);
+    auto nextSend = now;
 
     for (; now < began + plan.length; now += tick)
     {
         endReplicas();
-        tellProofs();
+        deliverProofs();
 
-        while (! onTheWay.empty() && onTheWay.begin()->first <= now)
+        while (! inFlight.empty() && inFlight.begin()->first <= now)
         {
-            const auto isToTell = false;
-            const auto& message = onTheWay.begin()->second;
-            tables[message.node].hear (message.evidence, isToTell, now);
-            onTheWay.erase (onTheWay.begin());
+            const auto shouldForward = false;
+            const auto& message = inFlight.begin()->second;
+            tables[message.node].merge (message.evidence, shouldForward, now);
+            inFlight.erase (inFlight.begin());
         }
 
-        if (now >= nextTold)
+        if (now >= nextSend)
         {
-            exchange();
-            nextTold = now + tellInterval;
+            sendEvidence();
+            nextSend = now + sendInterval;
         }
 
         for (auto& caller : callers)
@@ -76,7 +76,7 @@
     {
         outcome.crashes.push_back (crashTimes[fatal].size());
         const auto isStopped = [&] (const CrashTable& table)
-        { return table.judge (callers[fatal].request, now).verdict == CrashVerdict::stopped; };
+        { return table.assess (callers[fatal].request, now).verdict == CrashVerdict::stopped; };
 
         if (! std::ranges::all_of (tables, isStopped))
             ++outcome.notStopped;
@@ -108,7 +108,7 @@
 
         place.ends.reset();
         place.ended = now;
-        place.back = now + plan.entryStays;
+        place.back = now + plan.entryLifetime;
         firstCrash = firstCrash.value_or (now);
 
         for (auto& caller : callers)
@@ -122,7 +122,7 @@
     }
 }
 
-auto CrashWorld::tellProofs() -> void
+auto CrashWorld::deliverProofs() -> void
 {
     std::erase_if (proofs,
                    [this] (const Proof& proof)
@@ -130,20 +130,20 @@
                        if (proof.at > now)
                            return false;
 
-                       const auto namesOneStart = true;
-                       tables[proof.node].noteCrash (proof.request, proof.account,
-                                                     { proof.replica, proof.ended, namesOneStart });
+                       const auto identifiesIncarnation = true;
+                       tables[proof.node].recordCrash (proof.request, proof.account,
+                                                       { proof.replica, proof.ended, identifiesIncarnation });
                        return true;
                    });
 }
 
-auto CrashWorld::exchange() -> void
+auto CrashWorld::sendEvidence() -> void
 {
     for (std::size_t from = 0; from < tables.size(); ++from)
-        for (const auto& evidence : tables[from].takeToTell (24))
+        for (const auto& evidence : tables[from].takeUnsent (24))
             for (std::size_t to = 0; to < tables.size(); ++to)
-                if (to != from && ! isDrawn (lostShare))
-                    onTheWay.emplace (now + draw (plan.longestWay), Message { to, evidence });
+                if (to != from && ! isChosen (lostShare))
+                    inFlight.emplace (now + drawUpTo (plan.maxMessageDelay), Message { to, evidence });
 }
 
 auto CrashWorld::step (Caller& caller) -> void
@@ -178,13 +178,13 @@
         case Phase::running:
             if (! caller.isFatal && now >= caller.until)
             {
-                tables[caller.node].noteSuccess (caller.request, now);
+                tables[caller.node].recordSuccess (caller.request, now);
                 finish (caller, true);
             }
 
             return;
 
-        case Phase::proving:
+        case Phase::awaitingProof:
             if (now < caller.until)
                 return;
 
@@ -201,29 +201,29 @@
 
 auto CrashWorld::beginAttempt (Caller& caller) -> void
 {
-    const auto judgement = tables[caller.node].judge (caller.request, now);
-    caller.phase = mustPause (judgement) ? Phase::pausing : Phase::waiting;
-    caller.until = now + draw (pauseBound (judgement));
+    const auto assessment = tables[caller.node].assess (caller.request, now);
+    caller.phase = shouldPause (assessment) ? Phase::pausing : Phase::waiting;
+    caller.until = now + drawUpTo (maxPauseFor (assessment));
 }
 
 auto CrashWorld::send (Caller& caller) -> void
 {
-    const auto judgement = tables[caller.node].judge (caller.request, now);
+    const auto assessment = tables[caller.node].assess (caller.request, now);
 
-    if (judgement.verdict == CrashVerdict::stopped)
+    if (assessment.verdict == CrashVerdict::stopped)
     {
         if (! caller.isFatal)
             innocentsStopped.emplace (caller.request.high, caller.request.low);
 
-        tables[caller.node].noteStopped (caller.request, now);
+        tables[caller.node].recordStopped (caller.request, now);
         finish (caller, false);
         return;
     }
 
-    if (mustWait (judgement, { isRunning (caller), isScarce (caller.node) }))
+    if (shouldWait (assessment, { isRunning (caller), areReplicasScarce (caller.node) }))
         return;
 
-    const auto choice = choosePlace (caller, judgement);
+    const auto choice = choosePlace (caller, assessment);
 
     if (! choice)
         return;
@@ -257,17 +257,17 @@
     chosen.ends = std::min (chosen.ends.value_or (now + fatalTime), now + fatalTime);
 }
 
-auto CrashWorld::choosePlace (const Caller& caller, const CrashJudgement& judgement)
+auto CrashWorld::choosePlace (const Caller& caller, const CrashAssessment& assessment)
     -> std::optional<std::size_t>
 {
-    const auto isApart = judgement.crashes >= crashesToPause;
-    const auto suspects = isApart ? tables[caller.node].suspectAnchors() : std::vector<std::uint64_t>();
+    const auto isApart = assessment.crashes >= crashesToPause;
+    const auto suspects = isApart ? tables[caller.node].suspectRankingHashes() : std::vector<std::uint64_t>();
 
     const auto rank = [&] (std::size_t place)
     {
-        return judgement.verdict == CrashVerdict::clear
+        return assessment.verdict == CrashVerdict::clear
                    ? std::uint64_t { random() }
-                   : combineHashes (anchorOf (caller.request), places[place].id);
+                   : combineHashes (rankingHash (caller.request), places[place].id);
     };
     std::optional<std::size_t> best;
     std::optional<std::size_t> other;
@@ -280,7 +280,7 @@
         if (knownDead[caller.node].contains (listed.id))
             continue;
 
-        if (isApart && ! isInPart (anchorOf (caller.request), suspects, listed.id))
+        if (isApart && ! isInPart (rankingHash (caller.request), suspects, listed.id))
         {
             if (! other || rank (place) > rank (*other))
                 other = place;
@@ -302,8 +302,8 @@
 
 auto CrashWorld::cut (Caller& caller, const Incarnation& ended) -> void
 {
-    const auto lapse = plan.isAddressAccepting ? *ended.ended + plan.entryStays - now : Duration::zero();
-    const auto proved = std::max (lapse, Duration::zero()) + draw (plan.longestProof);
+    const auto lapse = plan.isAddressAccepting ? *ended.ended + plan.entryLifetime - now : Duration::zero();
+    const auto proved = std::max (lapse, Duration::zero()) + drawUpTo (plan.maxProofDelay);
     // A request waits for the proof of its replica's end no longer than for a probe.
     constexpr auto probeTime = Duration (50ms);
     proofs.push_back ({ now + proved, now, caller.node, caller.request, caller.account, ended.id });
@@ -311,15 +311,15 @@
     if (! plan.isAddressAccepting)
         knownDead[caller.node].insert (ended.id);
 
-    caller.phase = Phase::proving;
+    caller.phase = Phase::awaitingProof;
     caller.until = now + std::min (proved, probeTime);
 
     // An address that does not refuse at once leaves the end open.
-    const auto namesOneStart = true;
+    const auto identifiesIncarnation = true;
 
     if (proved > probeTime)
-        tables[caller.node].noteOpenEnd (caller.request, caller.account, { ended.id, now, namesOneStart },
-                                         now);
+        tables[caller.node].recordUnconfirmedCrash (caller.request, caller.account,
+                                                    { ended.id, now, identifiesIncarnation }, now);
 }
 
 auto CrashWorld::finish (Caller& caller, bool isServed) -> void
@@ -357,19 +357,19 @@
                                 });
 }
 
-auto CrashWorld::isScarce (std::size_t node) const -> bool
+auto CrashWorld::areReplicasScarce (std::size_t node) const -> bool
 {
     const auto left = std::ranges::count_if (places, [&] (const Incarnation& place)
                                              { return ! knownDead[node].contains (place.id); });
     return 2 * static_cast<std::size_t> (left) < places.size();
 }
 
-auto CrashWorld::draw (Duration most) -> Duration
+auto CrashWorld::drawUpTo (Duration most) -> Duration
 {
     return Duration (std::uniform_int_distribution<Duration::rep> (0, most.count()) (random));
 }
 
-auto CrashWorld::isDrawn (double share) -> bool
+auto CrashWorld::isChosen (double share) -> bool
 {
     return std::uniform_real_distribution (0.0, 1.0) (random) < share;
 }
--- a/tests/unit/CrashWorld.h
+++ b/tests/unit/CrashWorld.h
@@ -21,11 +21,11 @@
     std::size_t fatalCallers = 2;
     bool isOneAccount = false;
     /** From the end of a connection to the proof that its replica has ended, at most. */
-    Duration longestProof = 30ms;
+    Duration maxProofDelay = 30ms;
     /** From node to node, at most. */
-    Duration longestWay = 90ms;
+    Duration maxMessageDelay = 90ms;
     /** A replica that ended is listed for so long, and another one runs in its place after. */
-    Duration entryStays = 1200ms;
+    Duration entryLifetime = 1200ms;
     /** Whether the address of a replica that ended goes on to accept and close connections, so that its end is proved only when
         its entry goes.
     */
@@ -76,7 +76,7 @@
         pausing,
         waiting,
         running,
-        proving
+        awaitingProof
     };
 
     struct Caller
@@ -114,18 +114,18 @@
     };
 
     auto endReplicas() -> void;
-    auto tellProofs() -> void;
-    auto exchange() -> void;
+    auto deliverProofs() -> void;
+    auto sendEvidence() -> void;
     auto step (Caller& caller) -> void;
     auto beginAttempt (Caller& caller) -> void;
     auto send (Caller& caller) -> void;
-    auto choosePlace (const Caller& caller, const CrashJudgement& judgement) -> std::optional<std::size_t>;
+    auto choosePlace (const Caller& caller, const CrashAssessment& assessment) -> std::optional<std::size_t>;
     auto cut (Caller& caller, const Incarnation& ended) -> void;
     auto finish (Caller& caller, bool isServed) -> void;
     auto isRunning (const Caller& asking) const -> bool;
-    auto isScarce (std::size_t node) const -> bool;
-    auto draw (Duration most) -> Duration;
-    auto isDrawn (double share) -> bool;
+    auto areReplicasScarce (std::size_t node) const -> bool;
+    auto drawUpTo (Duration most) -> Duration;
+    auto isChosen (double share) -> bool;
 
     CrashPlan plan;
     std::mt19937 random;
@@ -138,7 +138,7 @@
     std::vector<std::set<std::uint64_t>> knownDead;
     std::vector<Caller> callers;
     std::vector<Proof> proofs;
-    std::multimap<TimePoint, Message> onTheWay;
+    std::multimap<TimePoint, Message> inFlight;
     std::vector<std::vector<TimePoint>> crashTimes;
     std::vector<std::vector<TimePoint>> sendTimes;
     std::set<std::pair<std::uint64_t, std::uint64_t>> innocentsStopped;
--- a/tests/unit/CrashWorldTests.cpp
+++ b/tests/unit/CrashWorldTests.cpp
@@ -21,10 +21,10 @@
     return asked == nullptr ? usual : static_cast<unsigned> (std::strtoul (asked, nullptr, 10));
 }
 
-auto noteCrash (CrashTable& table, const RequestFingerprint& request, std::uint64_t replica, TimePoint now)
+auto recordCrash (CrashTable& table, const RequestFingerprint& request, std::uint64_t replica, TimePoint now)
     -> void
 {
-    table.noteCrash (request, "alpha", { replica, now });
+    table.recordCrash (request, "alpha", { replica, now });
 }
 
 /** What came of all seeds. */
@@ -81,21 +81,21 @@
     for (const auto pause : { 100ms, 100ms, 100ms, 100ms, 100ms, 100ms, 100ms, 100ms })
     {
         now += pause;
-        noteCrash (table, first, ++replica, now);
-        noteCrash (table, second, replica, replica == 8 ? now - 60ms : now);
+        recordCrash (table, first, ++replica, now);
+        recordCrash (table, second, replica, replica == 8 ? now - 60ms : now);
     }
 
     now += 1s;
-    REQUIRE (table.judge (first, now).verdict == CrashVerdict::stopped);
+    REQUIRE (table.assess (first, now).verdict == CrashVerdict::stopped);
 
     for (auto count = 0; count < 3; ++count)
     {
         now += 300ms;
-        noteCrash (table, second, ++replica, now);
+        recordCrash (table, second, ++replica, now);
     }
 
     now += 1s;
-    CHECK (table.judge (second, now).verdict == CrashVerdict::stopped);
+    CHECK (table.assess (second, now).verdict == CrashVerdict::stopped);
 }
 
 TEST_CASE ("Each of several fatal requests at once is stopped, and nothing else", "[crash-world]")
@@ -136,7 +136,7 @@
 {
     CrashPlan plan;
     plan.isAddressAccepting = true;
-    plan.entryStays = 300ms;
+    plan.entryLifetime = 300ms;
     plan.fatalCallers = GENERATE (std::size_t { 2 }, std::size_t { 5 });
     const auto sums = playSeeds (plan);
 
@@ -157,8 +157,8 @@
 TEST_CASE ("No fatal request is sent late where proofs and messages take long", "[crash-world]")
 {
     CrashPlan plan;
-    plan.longestProof = 1500ms;
-    plan.longestWay = 400ms;
+    plan.maxProofDelay = 1500ms;
+    plan.maxMessageDelay = 400ms;
     plan.fatalCallers = GENERATE (std::size_t { 2 }, std::size_t { 5 });
     const auto sums = playSeeds (plan);
 
--- a/tests/unit/RequestTests.cpp
+++ b/tests/unit/RequestTests.cpp
@@ -53,7 +53,7 @@
 
     std::string events;
     CHECK (record.readStream (0, events).lastEvent == 3);
-    record.noteRead (2);
+    record.updateReadPosition (2);
     const auto handed = record.takeForHandover();
     REQUIRE (handed);
     CHECK (handed->finishReason == "stop");
@@ -61,7 +61,7 @@
     CHECK (handed->answerTokens == 3);
     CHECK (record.state() == RecordState::finished);
 
-    record.noteRead (3);
+    record.updateReadPosition (3);
     CHECK_FALSE (record.takeForHandover());
 }
 
@@ -90,37 +90,37 @@
 TEST_CASE ("what may have run and may not repeat is not tried again")
 {
     const auto decision = decideAfterFailure ({ CallStage::sent, FailureCause::cut }, inputAt (false), now);
-    CHECK_FALSE (decision.again);
+    CHECK_FALSE (decision.shouldRetry);
     CHECK (decision.ran == Ran::unknown);
 
     auto second = inputAt (false);
     second.mayHaveRun = true;
     const auto refused = decideAfterFailure ({ CallStage::answering, FailureCause::refused }, second, now);
-    CHECK_FALSE (refused.again);
+    CHECK_FALSE (refused.shouldRetry);
     CHECK (refused.ran == Ran::unknown);
 }
 
 TEST_CASE ("what was not run is tried again, within attempts, budget and deadline")
 {
     const AttemptOutcome refused { CallStage::answering, FailureCause::refused };
-    CHECK (decideAfterFailure (refused, inputAt (false), now).again);
+    CHECK (decideAfterFailure (refused, inputAt (false), now).shouldRetry);
 
     auto last = inputAt (true);
-    last.attempts = usualMostAttempts;
-    CHECK_FALSE (decideAfterFailure (refused, last, now).again);
+    last.attempts = defaultMaxAttempts;
+    CHECK_FALSE (decideAfterFailure (refused, last, now).shouldRetry);
 
     auto spent = inputAt (true);
     spent.budgetLeft = false;
-    CHECK_FALSE (decideAfterFailure (refused, spent, now).again);
+    CHECK_FALSE (decideAfterFailure (refused, spent, now).shouldRetry);
 
     auto begun = spent;
     begun.answerBegun = true;
-    CHECK (decideAfterFailure (refused, begun, now).again);
+    CHECK (decideAfterFailure (refused, begun, now).shouldRetry);
 
     auto late = inputAt (true);
     late.deadline = now;
     const auto decision = decideAfterFailure (refused, late, now);
-    CHECK_FALSE (decision.again);
+    CHECK_FALSE (decision.shouldRetry);
     CHECK (decision.ran == Ran::no);
 }
 
@@ -132,26 +132,26 @@
     AttemptCount count;
 
     for (auto attempt = 0; attempt < 100; ++attempt)
-        noteFailed (count, attempt % 2 == 0 ? refusedConnection : misdirected);
+        recordFailure (count, attempt % 2 == 0 ? refusedConnection : misdirected);
 
     CHECK (countedAttempts (count, 0) == 1);
-    noteFailed (count, declined);
-    noteFailed (count, declined);
+    recordFailure (count, declined);
+    recordFailure (count, declined);
     CHECK (countedAttempts (count, 0) == 2);
     CHECK (countedAttempts (count, 2) == 1);
-    noteFailed (count, { CallStage::sent, FailureCause::cut });
-    noteFailed (count, { CallStage::sent, FailureCause::cut });
+    recordFailure (count, { CallStage::sent, FailureCause::cut });
+    recordFailure (count, { CallStage::sent, FailureCause::cut });
     CHECK (countedAttempts (count, 2) == 2);
 
     auto input = inputAt (false);
     input.attempts = 1;
     input.budgetLeft = false;
     const auto decision = decideAfterFailure (refusedConnection, input, now);
-    CHECK (decision.again);
+    CHECK (decision.shouldRetry);
     CHECK_FALSE (decision.takesBudget);
     CHECK (decision.pause == Duration::zero());
     // A replica did see this one.
-    CHECK_FALSE (decideAfterFailure (misdirected, input, now).again);
+    CHECK_FALSE (decideAfterFailure (misdirected, input, now).shouldRetry);
     input.budgetLeft = true;
     CHECK (decideAfterFailure (misdirected, input, now).takesBudget);
 }
@@ -185,7 +185,7 @@
     for (const auto isTakenBefore : { false, true })
     {
         RetryBudgets budgets;
-        budgets.setMostSaved (1.7);
+        budgets.setMaxSaved (1.7);
 
         for (auto request = 0; request < requests; ++request)
         {
@@ -210,13 +210,13 @@
     RetryBudgets budgets;
     CHECK (budgets.take ("a", "s"));
     CHECK_FALSE (budgets.take ("a", "s"));
-    budgets.setMostSaved (3.0);
+    budgets.setMaxSaved (3.0);
     CHECK (budgets.take ("a", "s"));
     CHECK (budgets.take ("a", "s"));
     CHECK_FALSE (budgets.take ("a", "s"));
 
     // A change of its part gives nothing more.
-    budgets.setMostSaved (8.0);
+    budgets.setMaxSaved (8.0);
     CHECK_FALSE (budgets.take ("a", "s"));
     budgets.giveBack ("a", "s");
     CHECK (budgets.take ("a", "s"));
@@ -238,7 +238,7 @@
     other.contentHash = 2;
     CHECK (table.decide (other, now, wallNow, now + 1s).verdict == KeyVerdict::conflict);
 
-    table.noteEnd (call.account, call.key, Ran::unknown, false);
+    table.recordEnd (call.account, call.key, Ran::unknown, false);
     CHECK (table.decide (call, now, wallNow, now + 1s).verdict == KeyVerdict::unknown);
 }
 
@@ -269,8 +269,8 @@
     identity.id = { "router", makeUuid (wallNow) };
     const auto first = std::make_shared<RequestRecord> (identity);
     const auto second = std::make_shared<RequestRecord> (identity);
-    CHECK (table.addHanded (first) == first);
-    CHECK (table.addHanded (second) == first);
+    CHECK (table.addHandedOver (first) == first);
+    CHECK (table.addHandedOver (second) == first);
     CHECK (table.openCount() == 1);
 }
 
@@ -279,7 +279,7 @@
     auto table = owningTable (wallNow - 1h);
     const auto call = entryAt (wallNow);
     table.decide (call, now, wallNow, now + 1s);
-    table.noteEnd (call.account, call.key, Ran::no, false);
+    table.recordEnd (call.account, call.key, Ran::no, false);
     CHECK (table.decide (call, now, wallNow, now + 1s).verdict == KeyVerdict::run);
 }
 
@@ -304,7 +304,7 @@
     const auto running = entryAt (wallNow);
     first.decide (finished, now, wallNow, now + 1s);
     first.decide (running, now, wallNow, now + 1s);
-    first.noteEnd (finished.account, finished.key, Ran::yes, true);
+    first.recordEnd (finished.account, finished.key, Ran::yes, true);
 
     KeyTable heir;
 
@@ -375,9 +375,9 @@
 
     const auto restored = StreamedAnswer::restore (answer.text(), answer.eventCodes(), answer.choices());
     REQUIRE (restored.has_value());
-    std::string again;
-    restored->write (writer, 1, 1 << 20, again);
-    CHECK (again == rest);
+    std::string shouldRetry;
+    restored->write (writer, 1, 1 << 20, shouldRetry);
+    CHECK (shouldRetry == rest);
 
     CHECK_FALSE (StreamedAnswer::restore ("one", { 2 }, {}).has_value());
     CHECK_FALSE (StreamedAnswer::restore ("one", { 6, 4 }, {}).has_value());
--- a/tests/unit/StaleEntryTests.cpp
+++ b/tests/unit/StaleEntryTests.cpp
@@ -56,17 +56,17 @@
             tried.clear();
         }
 
-        noteFailed (failures, outcome);
+        recordFailure (failures, outcome);
         RetryInput input;
         input.attempts = countedAttempts (failures, freeDeclines);
         input.mostAttempts = 2;
         input.deadline = now + 5s;
         auto decision = decideAfterFailure (outcome, input, time);
 
-        if (decision.again && decision.takesBudget)
-            decision.again = takeRetry (budget);
+        if (decision.shouldRetry && decision.takesBudget)
+            decision.shouldRetry = takeRetry (budget);
 
-        if (! decision.again)
+        if (! decision.shouldRetry)
             return false;
 
         time += decision.pause + 1ms;
