--- a/modules/snowrudder_requests/crashes/CrashEvidence.cpp
+++ b/modules/snowrudder_requests/crashes/CrashEvidence.cpp
@@ -8,7 +8,9 @@
 namespace
 {
 
-/** Each hop adds its delay to a time that is told as an age: what moves by less is the same word again. */
+/** Times are sent as ages, and each hop adds its delay to them: a success that is later by less than this is the same
+    one.
+*/
 constexpr auto ageTolerance = Duration (1s);
 
 auto addCrash (std::vector<ReplicaCrash>& crashes, const ReplicaCrash& crash) -> bool
@@ -36,7 +38,7 @@
     return true;
 }
 
-auto isAmong (const std::vector<ReplicaCrash>& ends, const ReplicaCrash& end) -> bool
+auto containsCrash (const std::vector<ReplicaCrash>& ends, const ReplicaCrash& end) -> bool
 {
     return std::ranges::any_of (ends, [&end] (const auto& known) { return isSameCrash (known, end); });
 }
@@ -45,7 +47,7 @@
 
 auto recordUnconfirmedCrash (CrashEvidence& evidence, const ReplicaCrash& end) -> bool
 {
-    if (isAmong (evidence.crashes, end) || isAmong (evidence.unconfirmedCrashes, end))
+    if (containsCrash (evidence.crashes, end) || containsCrash (evidence.unconfirmedCrashes, end))
         return false;
 
     evidence.unconfirmedCrashes.push_back (end);
@@ -59,15 +61,15 @@
 
 auto pendingUnconfirmedCrashes (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>
 {
-    auto standing = evidence.unconfirmedCrashes;
-    std::erase_if (standing,
+    auto pending = evidence.unconfirmedCrashes;
+    std::erase_if (pending,
                    [&] (const ReplicaCrash& end)
                    {
-                       const auto isCovered =
+                       const auto isRefuted =
                            evidence.lastSuccess && end.at <= *evidence.lastSuccess + successValidity;
-                       return isCovered || now - end.at > confirmationTimeout;
+                       return isRefuted || now - end.at > confirmationTimeout;
                    });
-    return standing;
+    return pending;
 }
 
 auto isSameCrash (const ReplicaCrash& first, const ReplicaCrash& second) -> bool
@@ -106,13 +108,13 @@
 
 auto unrefutedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
 {
-    auto standing = evidence.crashes;
+    auto unrefuted = evidence.crashes;
 
     if (evidence.lastSuccess)
-        std::erase_if (standing, [covered = *evidence.lastSuccess + successValidity] (const auto& crash)
-                       { return crash.at <= covered; });
+        std::erase_if (unrefuted, [refutedUntil = *evidence.lastSuccess + successValidity] (const auto& crash)
+                       { return crash.at <= refutedUntil; });
 
-    return standing;
+    return unrefuted;
 }
 
 auto countedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
--- a/modules/snowrudder_requests/crashes/CrashEvidence.h
+++ b/modules/snowrudder_requests/crashes/CrashEvidence.h
@@ -10,87 +10,98 @@
 namespace snowrudder
 {
 
-/** A replica that ended while it ran a request. */
+/** A crash of a replica, or a possible one, while it ran a request. */
 struct ReplicaCrash
 {
-    /** Hash of the replica, and of its start where the replica tells that. */
+    /** Hash of the replica's name, and of its incarnation where the replica publishes one. */
     std::uint64_t replica = 0;
-    /** When its connection ended. */
+    /** When the connection to it ended. */
     TimePoint at {};
-    /** Whether the hash names one start of the replica, which ends once: a connection that its address cut later is the same end. */
+    /** Whether the hash covers the incarnation. An incarnation crashes only once, so that a connection that ends later
+        belongs to the same crash.
+    */
     bool identifiesIncarnation = false;
 };
 
-/** What is known of one request under which replicas ended. Nodes tell it each other; it may arrive late, twice and in any
+/** What is known of one request during which replicas crashed. Nodes gossip it; it may arrive late, twice and in any
     order.
 */
 struct CrashEvidence
 {
     RequestFingerprint request;
-    /** Hash of its client account's name. */
+    /** Hash of the client account's name. */
     std::uint32_t account = 0;
-    /** The latest `maxCrashesKept`, in the order of their times. */
+    /** The latest `maxCrashesKept` crashes, in order of time. */
     std::vector<ReplicaCrash> crashes;
-    /** Ends of connections under it of which it is not known yet whether the replica has crashed; the latest `maxUnconfirmedCrashes`. */
+    /** Connections that ended while the request ran, where it is not known yet whether the replica crashed; the latest
+        `maxUnconfirmedCrashes`, in order of time.
+    */
     std::vector<ReplicaCrash> unconfirmedCrashes;
-    /** When a replica last answered it whole and with success. */
+    /** When a replica last answered the request completely and successfully. */
     std::optional<TimePoint> lastSuccess;
-    /** When a replica last ended under it, or a repeat of it was last stopped. */
+    /** When a replica last crashed during the request, or a repeat of it was last stopped. */
     TimePoint lastSeen {};
 };
 
-/** Crashes kept of one request, the latest: those after another request was stopped tell most. */
+/** Most crashes kept for one request. The latest are kept: once another fatal request has been stopped, later crashes
+    are not shared with it and are better evidence.
+*/
 inline constexpr auto maxCrashesKept = std::size_t { 16 };
 
-/** Open ends kept of one request. */
+/** Most unconfirmed crashes kept for one request. */
 inline constexpr auto maxUnconfirmedCrashes = std::size_t { 4 };
 
-/** An end of a connection is proved to be a crash within this time, or taken for none: its replica has answered since, or its entry has
-    stayed.
+/** A possible crash that is not confirmed within this time is not regarded as one: the replica has answered since, or
+    its entry is still listed.
 */
 inline constexpr auto confirmationTimeout = Duration (2s);
 
-/** Crashes closer to each other than this count once: what takes several replicas at the same moment is not a request. */
+/** Crashes less than this apart count once: a request does not end several replicas at the same moment, so that they
+    have another cause.
+*/
 inline constexpr auto minCrashSpacing = Duration (50ms);
 
-/** A success speaks for the request also in crashes up to this much later: a request that runs well elsewhere at the time did
-    not end its replica.
+/** A success also refutes crashes up to this much later: a request that succeeds elsewhere at about the same time did
+    not cause them.
 */
 inline constexpr auto successValidity = Duration (5s);
 
-/** Before a request is stopped, evidence of other nodes is waited for since its last deciding crash: it may show that another
-    request ended the same replicas and more.
+/** Time between the crash that makes a request fatal and its being stopped. Evidence that arrives from other nodes
+    meanwhile may show that another request ended the same replicas and more.
 */
 inline constexpr auto evidenceWaitTime = Duration (700ms);
 
-/** As long is waited since a node last learned something of the request, unless every proof must be in. */
+/** A request is also not stopped until its evidence has been unchanged on this node for this time, unless all proofs
+    must have arrived by then.
+*/
 inline constexpr auto settlingTime = Duration (500ms);
 
-/** A replica that starts again under its name has not crashed a second time within less. */
+/** Two crashes reported for the same replica name less than this apart are the same crash: a restart takes longer. */
 inline constexpr auto minRestartInterval = Duration (1s);
 
-/** Notes an end of a connection of which no crash is proved yet.
+/** Adds a possible crash that is not confirmed yet.
 
-    @returns whether it was not known
+    @returns whether it was added; false if it is known already
 */
 auto recordUnconfirmedCrash (CrashEvidence& evidence, const ReplicaCrash& end) -> bool;
 
-/** @returns the open ends that may still prove to be crashes. */
+/** @returns the unconfirmed crashes that may still be confirmed: not timed out and not refuted by a success. */
 auto pendingUnconfirmedCrashes (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>;
 
-/** @returns whether two nodes told of the same end of a replica. */
+/** @returns whether two reports describe the same crash of a replica. */
 auto isSameCrash (const ReplicaCrash& first, const ReplicaCrash& second) -> bool;
 
-/** Takes over what another node knows of the same request.
+/** Merges evidence received from another node into the evidence known here of the same request. Evidence that arrives
+    out of order or twice changes nothing.
 
-    @returns whether there was anything new in it
+    @returns whether it contained anything new
 */
 auto mergeEvidence (CrashEvidence& known, const CrashEvidence& received) -> bool;
 
-/** @returns the crashes that no success speaks against. */
+/** @returns the crashes that no success refutes. */
 auto unrefutedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>;
 
-/** @returns of the standing crashes those that count against a request: one for each moment. */
+/** @returns the unrefuted crashes that count against a request: one of those less than `minCrashSpacing` apart. */
 auto countedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/crashes/CrashTable.cpp
+++ b/modules/snowrudder_requests/crashes/CrashTable.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Successes remembered in one generation: a node answers some hundred requests a second. */
+/** Most successes kept in one generation: a node answers some hundred requests per second. */
 constexpr auto maxSuccesses = std::size_t { 8192 };
 
 } // namespace
@@ -21,13 +21,13 @@
     if (! request.isKnown())
         return false;
 
-    CrashEvidence seen;
-    seen.request = request;
-    seen.account = static_cast<std::uint32_t> (hashBytes (account));
-    seen.crashes.push_back (crash);
-    seen.lastSeen = crash.at;
+    CrashEvidence newEvidence;
+    newEvidence.request = request;
+    newEvidence.account = static_cast<std::uint32_t> (hashBytes (account));
+    newEvidence.crashes.push_back (crash);
+    newEvidence.lastSeen = crash.at;
     const auto shouldForward = true;
-    return merge (seen, shouldForward, crash.at);
+    return merge (newEvidence, shouldForward, crash.at);
 }
 
 auto CrashTable::recordUnconfirmedCrash (const RequestFingerprint& request,
@@ -53,13 +53,13 @@
     return true;
 }
 
-auto CrashTable::recordAlive (std::uint64_t replica, TimePoint received) -> void
+auto CrashTable::recordAlive (std::uint64_t replica, TimePoint aliveAt) -> void
 {
     const std::lock_guard lock (mutex);
 
     for (auto& [request, entry] : entries)
         std::erase_if (entry.evidence.unconfirmedCrashes,
-                       [&] (const ReplicaCrash& end) { return end.replica == replica && end.at < received; });
+                       [&] (const ReplicaCrash& end) { return end.replica == replica && end.at < aliveAt; });
 }
 
 auto CrashTable::recordSuccess (const RequestFingerprint& request, TimePoint now) -> void
@@ -115,7 +115,7 @@
 auto CrashTable::suspectRankingHashes() const -> std::vector<std::uint64_t>
 {
     const std::lock_guard lock (mutex);
-    decide();
+    updateDecisions();
     return suspects;
 }
 
@@ -129,8 +129,8 @@
         if (entry.evidence.unconfirmedCrashes.empty())
             continue;
 
-        const auto standing = pendingUnconfirmedCrashes (entry.evidence, now);
-        all.insert (all.end(), standing.begin(), standing.end());
+        const auto pending = pendingUnconfirmedCrashes (entry.evidence, now);
+        all.insert (all.end(), pending.begin(), pending.end());
     }
 
     return all;
@@ -139,21 +139,21 @@
 auto CrashTable::takeUnsent (std::size_t most) -> std::vector<CrashEvidence>
 {
     const std::lock_guard lock (mutex);
-    std::vector<CrashEvidence> told;
+    std::vector<CrashEvidence> unsent;
 
     for (auto& [request, entry] : entries)
     {
         if (entry.sendsLeft == 0)
             continue;
 
-        if (told.size() == most)
+        if (unsent.size() == most)
             break;
 
         --entry.sendsLeft;
-        told.push_back (entry.evidence);
+        unsent.push_back (entry.evidence);
     }
 
-    return told;
+    return unsent;
 }
 
 auto CrashTable::all (std::size_t most, TimePoint now) const -> std::vector<CrashEvidence>
@@ -241,7 +241,7 @@
     if (countedCrashes (evidence).size() == before)
         return;
 
-    // Told only where it changes something: a request that runs everywhere succeeds all the time.
+    // Sent only if it changes the crashes that count: a request that runs on every node succeeds all the time.
     entry.sendsLeft = timesSent;
     areDecisionsStale = true;
 }
@@ -281,7 +281,7 @@
     const auto from = isOverOwn ? account : largest->first;
     auto oldest = entries.end();
 
-    // What counts least goes first.
+    // The request with the fewest counted crashes is evicted first; among equals, the one seen longest ago.
     const auto weight = [] (const Entry& entry)
     { return std::tuple (countedCrashes (entry.evidence).size(), entry.evidence.lastSeen); };
 
@@ -295,7 +295,7 @@
     areDecisionsStale = true;
 }
 
-auto CrashTable::decide() const -> void
+auto CrashTable::updateDecisions() const -> void
 {
     if (! std::exchange (areDecisionsStale, false))
         return;
@@ -327,7 +327,7 @@
     if (counted.empty() && open < crashesToPause)
         return {};
 
-    decide();
+    updateDecisions();
     CrashAssessment assessment;
     assessment.verdict = CrashVerdict::suspected;
     assessment.crashes = counted.size();
@@ -338,11 +338,11 @@
     if (! entry.decidedAt)
         return assessment;
 
-    // What was proved late is told late by others too.
+    // A crash confirmed late on one node is received late by the others.
     const auto isSettled = now >= entry.lastChange + settlingTime ||
                            now >= *entry.decidedAt + confirmationTimeout + evidenceWaitTime;
-    const auto isHeard = now >= *entry.decidedAt + evidenceWaitTimeFor (suspects.size()) && isSettled;
-    assessment.verdict = isHeard ? CrashVerdict::stopped : CrashVerdict::undecided;
+    const auto hasWaited = now >= *entry.decidedAt + evidenceWaitTimeFor (suspects.size()) && isSettled;
+    assessment.verdict = hasWaited ? CrashVerdict::stopped : CrashVerdict::undecided;
     return assessment;
 }
 
--- a/modules/snowrudder_requests/crashes/CrashTable.h
+++ b/modules/snowrudder_requests/crashes/CrashTable.h
@@ -12,94 +12,100 @@
 /** Whether a request may be sent to a replica. */
 enum class CrashVerdict
 {
-    /** Nothing speaks against it. */
+    /** No crash counts against the request. */
     clear,
-    /** Replicas ended under it; they may have ended for another reason. */
+    /** Replicas crashed or may have crashed during the request, possibly for another reason. */
     suspected,
-    /** It is about to be stopped, unless other nodes' evidence speaks for it. */
+    /** The request will be stopped unless evidence that arrives from other nodes clears it. */
     undecided,
-    /** It ends the replicas that run it: it is sent to none. */
+    /** The request ends the replicas that run it and is not sent to any. */
     stopped
 };
 
-/** A verdict with what it rests on. */
+/** A verdict with the evidence for it. */
 struct CrashAssessment
 {
     CrashVerdict verdict = CrashVerdict::clear;
-    /** Replicas that ended under the request and count against it. */
+    /** Number of crashes that count against the request. */
     std::size_t crashes = 0;
-    /** Connections that ended under it lately, of which it is not known yet whether the replica has. */
+    /** Number of possible crashes that may still be confirmed. */
     std::size_t unconfirmedCrashes = 0;
-    /** The latest of those. */
+    /** Time of the latest crash that counts; without one, when the request was last seen. */
     TimePoint lastCrash {};
-    /** Requests that may be fatal, this one included: several replicas ended under each, and none is stopped. */
+    /** Number of requests, this one included, that have several crashes each and are not found to be fatal. */
     std::size_t suspects = 0;
 };
 
-/** What this node knows of requests under which replicas ended, by the requests' content. Any thread may call it; one mutex
-    guards it.
+/** The crash evidence that this node holds, by request fingerprint. Thread-safe; one mutex guards it.
 
-    It is bounded: beside the whole, each client account has a bound of its own, so that one account's requests push out no
-    other's.
+    Its size is bounded in total and per client account, so that requests of one account don't evict those of another.
 */
 class CrashTable
 {
 public:
-    /** Notes that a replica ended while it ran a request of this node.
+    /** Records that a replica crashed while it ran a request of this node.
 
-        @returns  whether that was not known
+        @returns  whether the crash was not known before
     */
     auto recordCrash (const RequestFingerprint& request, std::string_view account, const ReplicaCrash& crash)
         -> bool;
 
-    /** Notes that a connection ended under a request of this node, and that its replica may have.
+    /** Records that a connection ended while a request of this node ran, and that the replica may have crashed.
 
-        @returns  whether that is to be told: a request that succeeds elsewhere is not suspected
+        @returns  whether the crash is to be sent to other nodes: a request that succeeded recently is not suspected
     */
     auto recordUnconfirmedCrash (const RequestFingerprint& request,
                                  std::string_view account,
                                  const ReplicaCrash& end,
                                  TimePoint now) -> bool;
 
-    /** Notes that a replica was heard of after its connections ended. */
-    auto recordAlive (std::uint64_t replica, TimePoint received) -> void;
+    /** Removes unconfirmed crashes of a replica that was alive after its connections ended.
 
-    /** Notes that a replica answered a request whole and with success. */
+        @param aliveAt  when the replica was last known to be alive
+    */
+    auto recordAlive (std::uint64_t replica, TimePoint aliveAt) -> void;
+
+    /** Records that a replica answered a request completely and successfully. */
     auto recordSuccess (const RequestFingerprint& request, TimePoint now) -> void;
 
-    /** Notes that a repeat of a request was stopped. */
+    /** Records that a repeat of a request was stopped, which keeps the request from expiring. */
     auto recordStopped (const RequestFingerprint& request, TimePoint now) -> void;
 
-    /** Takes in what another node told.
+    /** Merges evidence received from another node. Evidence that arrives out of order or twice changes nothing.
 
-        @param shouldForward  whether this node hands on what is new
-        @returns         whether there was anything new
+        @param shouldForward  whether this node forwards what is new
+        @returns              whether the evidence contained anything new
     */
     auto merge (const CrashEvidence& received, bool shouldForward, TimePoint now) -> bool;
 
     /** @returns whether a request may be sent to a replica now. */
     [[nodiscard]] auto assess (const RequestFingerprint& request, TimePoint now) const -> CrashAssessment;
 
-    /** @returns the anchors of requests that may be fatal, in no order: several replicas ended under each. They are to run apart, so
-        that one replica's end speaks against one of them.
+    /** @returns the ranking hashes of the requests that have several crashes and are not found to be fatal, in no
+        order. They are to run on separate replicas, so that a crash counts against only one of them.
     */
     [[nodiscard]] auto suspectRankingHashes() const -> std::vector<std::uint64_t>;
 
-    /** @returns ends of connections that may still prove to be crashes, of all requests. */
+    /** @returns the crashes of all requests that may still be confirmed. */
     [[nodiscard]] auto unconfirmedCrashes (TimePoint now) const -> std::vector<ReplicaCrash>;
 
-    /** @returns what is to be told to other nodes now; each news is told `timesSent` times, since messages get lost. */
+    /** @returns evidence to send to other nodes now, of at most `most` requests. Each change is returned `timesSent`
+        times, since messages get lost.
+    */
     auto takeUnsent (std::size_t most) -> std::vector<CrashEvidence>;
 
-    /** @returns all that is known, the requests that are stopped first. */
+    /** @returns the evidence of at most `most` requests, the stopped ones first. */
     [[nodiscard]] auto all (std::size_t most, TimePoint now) const -> std::vector<CrashEvidence>;
 
-    /** @returns a number that is the same at nodes that stop the same requests; zero where none is stopped. */
+    /** @returns a checksum of the stopped requests, which is equal on nodes that stop the same ones; zero if none is
+        stopped.
+    */
     [[nodiscard]] auto digest (TimePoint now) const -> std::uint64_t;
 
-    /** Forgets what is older than `retentionTime`. */
+    /** Removes requests not seen for `retentionTime`, and those left without crashes. */
     auto removeExpired (TimePoint now) -> void;
 
+    /** Numbers of requests in the table. */
     struct Sizes
     {
         std::size_t known = 0;
@@ -108,7 +114,7 @@
 
     [[nodiscard]] auto sizes (TimePoint now) const -> Sizes;
 
-    /** A request is forgotten when it was not seen for so long. One that goes on coming stays stopped. */
+    /** A request is removed when it has not been seen for this time. One that keeps arriving stays stopped. */
     static constexpr auto retentionTime = Duration (10min);
 
     static constexpr auto maxRequests = std::size_t { 2048 };
@@ -120,9 +126,9 @@
     {
         CrashEvidence evidence;
         std::uint32_t sendsLeft = 0;
-        /** When this node last learned something of it. */
+        /** When the evidence last changed on this node. */
         TimePoint lastChange {};
-        /** When the crash happened that showed it to be fatal. */
+        /** Time of the crash by which the request was found to be fatal. */
         std::optional<TimePoint> decidedAt;
     };
 
@@ -131,19 +137,19 @@
     auto recentSuccess (const RequestFingerprint& request, TimePoint now) const -> std::optional<TimePoint>;
     auto storeSuccess (const RequestFingerprint& request, TimePoint now) -> void;
     auto makeRoom (std::uint32_t account) -> void;
-    auto decide() const -> void;
+    auto updateDecisions() const -> void;
     [[nodiscard]] auto assessEntry (const Entry& entry, TimePoint now) const -> CrashAssessment;
 
     using Successes = std::unordered_map<RequestFingerprint, TimePoint, FingerprintHash>;
 
     mutable std::mutex mutex;
     mutable std::unordered_map<RequestFingerprint, Entry, FingerprintHash> entries;
-    /** Whether the evidence has changed since requests were last decided on. */
+    /** Whether the evidence has changed since findFatalRequests() was last applied. */
     mutable bool areDecisionsStale = false;
-    /** From suspectRankingHashes(). */
+    /** Result of suspectRankingHashes(). */
     mutable std::vector<std::uint64_t> suspects;
     std::map<std::uint32_t, std::size_t> countByAccount;
-    /** Requests that lately succeeded, in two generations of `successCovers` each. */
+    /** Requests that succeeded recently, in two generations that last `successValidity` each. */
     Successes successes;
     Successes earlierSuccesses;
     TimePoint generationStart {};
--- a/modules/snowrudder_requests/crashes/FatalRequests.cpp
+++ b/modules/snowrudder_requests/crashes/FatalRequests.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 
-/** A request under which replicas ended, while it is judged. */
+/** A request with crashes, and when it was found to be fatal. */
 struct Suspect
 {
     const CrashEvidence* evidence = nullptr;
     std::vector<ReplicaCrash> counted;
-    std::optional<TimePoint> decided;
+    std::optional<TimePoint> decidedAt;
 };
 
-/** Who ran on a replica as it ended. */
+/** A request that was running on a replica when it crashed. */
 struct CrashParticipant
 {
     std::size_t suspect = 0;
@@ -27,121 +27,123 @@
 
 using ParticipantsByReplica = std::unordered_map<std::uint64_t, std::vector<CrashParticipant>>;
 
-/** What speaks against a request. */
+/** The weighted crashes of a request and when they reached the threshold. */
 struct CrashScore
 {
-    /** Crashes, those that another request may have caused as well for a part; none that a fatal request explains. */
+    /** Sum of the weights of its crashes: 1, contestedWeight or explainedWeight each. */
     double crashes = 0.0;
-    /** When there were enough crashes that nothing else explains, and when enough of all together. */
-    std::optional<TimePoint> byOwn;
-    std::optional<TimePoint> byAll;
+    /** When there were `crashesToStop` crashes that no other request explains or contests. */
+    std::optional<TimePoint> decidedByOwn;
+    /** When there were enough crashes of all kinds. */
+    std::optional<TimePoint> decidedByAll;
 };
 
 auto scoreCrashes (std::size_t index,
                    const std::vector<Suspect>& suspects,
-                   const ParticipantsByReplica& sharers) -> CrashScore
+                   const ParticipantsByReplica& participants) -> CrashScore
 {
-    CrashScore weighing;
+    CrashScore score;
     const auto& own = suspects[index];
     auto ownCrashes = std::size_t { 0 };
-    auto aloneCrashes = std::size_t { 0 };
+    auto exclusiveCrashes = std::size_t { 0 };
     auto counted = std::size_t { 0 };
 
     for (const auto& crash : own.counted)
     {
         auto isExplained = false;
         auto isContested = false;
-        auto isAlone = true;
+        auto isExclusive = true;
 
-        for (const auto& sharer : sharers.at (crash.replica))
+        for (const auto& participant : participants.at (crash.replica))
         {
-            if (sharer.suspect == index || ! isSameCrash (sharer.crash, crash))
+            if (participant.suspect == index || ! isSameCrash (participant.crash, crash))
                 continue;
 
-            const auto& other = suspects[sharer.suspect];
-            isExplained = isExplained || other.decided;
+            const auto& other = suspects[participant.suspect];
+            isExplained = isExplained || other.decidedAt;
             isContested = isContested || other.counted.size() >= own.counted.size();
-            isAlone = isAlone && other.counted.size() < crashesToPause;
+            isExclusive = isExclusive && other.counted.size() < crashesToPause;
         }
 
         const auto isOwn = ! isExplained && ! isContested;
         ownCrashes += isOwn ? 1 : 0;
-        aloneCrashes += isAlone ? 1 : 0;
-        weighing.crashes += isOwn ? 1.0 : isExplained ? explainedWeight : contestedWeight;
+        exclusiveCrashes += isExclusive ? 1 : 0;
+        score.crashes += isOwn ? 1.0 : isExplained ? explainedWeight : contestedWeight;
 
-        if (! weighing.byOwn && ownCrashes >= crashesToStop)
-            weighing.byOwn = crash.at;
+        if (! score.decidedByOwn && ownCrashes >= crashesToStop)
+            score.decidedByOwn = crash.at;
 
-        // Who only ran beside fatal requests shares each crash with one of them.
-        const auto hasEndedOne = ++counted >= crashesToStop && aloneCrashes > 0;
+        // A request that only ran beside fatal ones shares each of its crashes with one of them.
+        const auto hasExclusiveCrash = ++counted >= crashesToStop && exclusiveCrashes > 0;
 
-        if (! weighing.byAll && (hasEndedOne || weighing.crashes >= static_cast<double> (crashesToStop)))
-            weighing.byAll = crash.at;
+        if (! score.decidedByAll && (hasExclusiveCrash || score.crashes >= static_cast<double> (crashesToStop)))
+            score.decidedByAll = crash.at;
     }
 
-    return weighing;
+    return score;
 }
 
-/** Decides all requests that have enough crashes of their own.
+/** Marks all requests as fatal that have enough crashes of their own.
 
     @returns whether there was one
 */
-auto decideByOwnCrashes (std::vector<Suspect>& suspects, const ParticipantsByReplica& sharers) -> bool
+auto decideByOwnCrashes (std::vector<Suspect>& suspects, const ParticipantsByReplica& participants) -> bool
 {
     std::vector<std::pair<std::size_t, TimePoint>> found;
 
     for (std::size_t index = 0; index < suspects.size(); ++index)
     {
-        if (suspects[index].decided || suspects[index].counted.size() < crashesToStop)
+        if (suspects[index].decidedAt || suspects[index].counted.size() < crashesToStop)
             continue;
 
-        if (const auto weighing = scoreCrashes (index, suspects, sharers); weighing.byOwn)
-            found.emplace_back (index, *weighing.byOwn);
+        if (const auto score = scoreCrashes (index, suspects, participants); score.decidedByOwn)
+            found.emplace_back (index, *score.decidedByOwn);
     }
 
-    for (const auto& [index, decided] : found)
-        suspects[index].decided = decided;
+    for (const auto& [index, decidedAt] : found)
+        suspects[index].decidedAt = decidedAt;
 
     return ! found.empty();
 }
 
-/** Decides the request against which most speaks, of those with enough crashes that others may have caused too.
+/** Marks as fatal the request with the highest score, of those with enough crashes if the ones that others may have
+    caused are included.
 
     @returns whether there was one
 */
-auto decideHighestScore (std::vector<Suspect>& suspects, const ParticipantsByReplica& sharers) -> bool
+auto decideHighestScore (std::vector<Suspect>& suspects, const ParticipantsByReplica& participants) -> bool
 {
-    const auto rankOf = [] (const Suspect& suspect, const CrashScore& weighing)
+    const auto rankOf = [] (const Suspect& suspect, const CrashScore& score)
     {
         const auto& request = suspect.evidence->request;
-        return std::tuple (weighing.crashes, request.high, request.low);
+        return std::tuple (score.crashes, request.high, request.low);
     };
-    Suspect* worst = nullptr;
-    CrashScore worstWeighing;
+    Suspect* highest = nullptr;
+    CrashScore highestScore;
 
     for (std::size_t index = 0; index < suspects.size(); ++index)
     {
         auto& suspect = suspects[index];
 
-        if (suspect.decided || suspect.counted.size() < crashesToStop)
+        if (suspect.decidedAt || suspect.counted.size() < crashesToStop)
             continue;
 
-        const auto weighing = scoreCrashes (index, suspects, sharers);
+        const auto score = scoreCrashes (index, suspects, participants);
 
-        if (! weighing.byAll)
+        if (! score.decidedByAll)
             continue;
 
-        if (worst == nullptr || rankOf (suspect, weighing) > rankOf (*worst, worstWeighing))
+        if (highest == nullptr || rankOf (suspect, score) > rankOf (*highest, highestScore))
         {
-            worst = &suspect;
-            worstWeighing = weighing;
+            highest = &suspect;
+            highestScore = score;
         }
     }
 
-    if (worst != nullptr)
-        worst->decided = worstWeighing.byAll;
+    if (highest != nullptr)
+        highest->decidedAt = highestScore.decidedByAll;
 
-    return worst != nullptr;
+    return highest != nullptr;
 }
 
 } // namespace
@@ -158,26 +160,26 @@
 {
     std::vector<Suspect> suspects;
     suspects.reserve (requests.size());
-    ParticipantsByReplica sharers;
+    ParticipantsByReplica participants;
 
     for (const auto* evidence : requests)
     {
         for (const auto& crash : unrefutedCrashes (*evidence))
-            sharers[crash.replica].push_back ({ suspects.size(), crash });
+            participants[crash.replica].push_back ({ suspects.size(), crash });
 
         suspects.push_back ({ evidence, countedCrashes (*evidence), {} });
     }
 
-    while (decideByOwnCrashes (suspects, sharers) || decideHighestScore (suspects, sharers))
+    while (decideByOwnCrashes (suspects, participants) || decideHighestScore (suspects, participants))
         continue;
 
-    std::vector<std::optional<TimePoint>> decided;
-    decided.reserve (suspects.size());
+    std::vector<std::optional<TimePoint>> decidedAt;
+    decidedAt.reserve (suspects.size());
 
     for (const auto& suspect : suspects)
-        decided.push_back (suspect.decided);
+        decidedAt.push_back (suspect.decidedAt);
 
-    return decided;
+    return decidedAt;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/crashes/FatalRequests.h
+++ b/modules/snowrudder_requests/crashes/FatalRequests.h
@@ -9,35 +9,37 @@
 namespace snowrudder
 {
 
-/** A request is stopped once it has ended so many replicas. */
+/** A request is stopped once it has crashed this many replicas. */
 inline constexpr auto crashesToStop = std::size_t { 3 };
 
-/** From this many crashes on a request is sent with care. */
+/** From this many crashes on, a request pauses before it is sent and runs apart from other suspects. */
 inline constexpr auto crashesToPause = std::size_t { 2 };
 
-/** A crash that another request may have caused as well counts for this part of one. */
+/** Weight of a crash that another request may have caused as well, where a crash caused by this request alone weighs 1.
+*/
 inline constexpr auto contestedWeight = 0.5;
 
-/** A crash that a request explains which is found to be fatal counts for this part of one: a request that never succeeds and
-    always ran beside another one is not innocent for ever.
+/** Weight of a crash that is explained by a request already found to be fatal. It is not zero, so that a request that
+    never succeeds and always ran beside another one is found in the end.
 */
 inline constexpr auto explainedWeight = 0.25;
 
-/** Before a request is stopped, evidence of other nodes is waited for since the crash that decided it: it may show that another
-    request ended the same replicas and more.
+/** @returns the time between the crash that makes a request fatal and its being stopped. Evidence that arrives from
+    other nodes meanwhile may show that another request ended the same replicas and more.
 
-    @param suspects  other requests that may be fatal; each of them takes its time to end one replica more
+    @param suspects  number of suspected requests; each extends the time, since each needs time to crash one more
+                     replica
 */
 auto evidenceWaitTimeFor (std::size_t suspects) -> Duration;
 
-/** Tells which requests end the replicas that run them from those that only ran beside one.
+/** Separates the requests that crash replicas from those that only ran on the same replicas at the time.
 
-    A crash counts against a request unless another request explains it: one that is found to be fatal, or one that ended as many
-    replicas or more and may be. Requests are found one after the other, since each one found explains the crashes that it
-    shares with the rest.
+    A crash counts in full against a request unless another request explains it, being found to be fatal, or contests
+    it, having as many counted crashes or more. Requests are found one after the other, since each one found explains
+    the crashes that it shares with the rest.
 
-    @param requests  what is known of all requests under which replicas ended
-    @returns         for each of them the time of the crash that decided it; nothing where it is not found to be fatal
+    @param requests  the evidence of all requests that have crashes
+    @returns         for each request the time of the crash by which it was found to be fatal, or nothing if it was not
 */
 auto findFatalRequests (std::span<const CrashEvidence* const> requests)
     -> std::vector<std::optional<TimePoint>>;
--- a/modules/snowrudder_requests/crashes/RequestFingerprint.cpp
+++ b/modules/snowrudder_requests/crashes/RequestFingerprint.cpp
@@ -20,25 +20,25 @@
 
 using Context = std::unique_ptr<EVP_MAC_CTX, decltype (&EVP_MAC_CTX_free)>;
 
-/** @returns a SipHash with a key that belongs to one secret, not yet fed. */
+/** @returns a new SipHash context whose key is derived from the secret. */
 auto keyedContext (std::string_view secret) -> Context
 {
-    // Looked up once: the look-up takes longer than the hash of a short request.
+    // Fetched once: fetching the algorithm takes longer than hashing a short request.
     static auto* const algorithm = EVP_MAC_fetch (nullptr, "SIPHASH", nullptr);
-    requireInvariant (algorithm != nullptr, "OpenSSL offers SipHash");
+    requireInvariant (algorithm != nullptr, "OpenSSL provides SipHash");
 
     std::array<unsigned char, SHA256_DIGEST_LENGTH> key;
     SHA256 (reinterpret_cast<const unsigned char*> (secret.data()), secret.size(), key.data());
 
     Context context (EVP_MAC_CTX_new (algorithm), EVP_MAC_CTX_free);
     requireInvariant (context && EVP_MAC_init (context.get(), key.data(), keyBytes, nullptr) == 1,
-                      "a hash can be made");
+                      "a SipHash context can be created");
     return context;
 }
 
-auto feed (EVP_MAC_CTX* context, std::string_view part) -> void
+auto hashPart (EVP_MAC_CTX* context, std::string_view part) -> void
 {
-    // The length first, so that no part can pass for the end of the one before it.
+    // The length comes first, so that bytes can't move from one part to the next without changing the hash.
     const auto length = static_cast<std::uint64_t> (part.size());
     EVP_MAC_update (context, reinterpret_cast<const unsigned char*> (&length), sizeof (length));
     EVP_MAC_update (context, reinterpret_cast<const unsigned char*> (part.data()), part.size());
@@ -54,7 +54,7 @@
     const auto context = keyedContext (secret);
 
     for (const auto part : { content.account, content.method, content.host, content.target, content.body })
-        feed (context.get(), part);
+        hashPart (context.get(), part);
 
     std::array<unsigned char, fingerprintBytes> bytes {};
     auto length = bytes.size();
--- a/modules/snowrudder_requests/crashes/RequestFingerprint.h
+++ b/modules/snowrudder_requests/crashes/RequestFingerprint.h
@@ -10,8 +10,8 @@
 namespace snowrudder
 {
 
-/** Names a request by its content: the same content has the same fingerprint at every node and each time that it comes.
-    Zero stands for a request that has none.
+/** A 128-bit hash that identifies a request by its content: equal content has the same fingerprint on every node and on
+    every arrival. Zero means that the request has no fingerprint.
 */
 struct RequestFingerprint
 {
@@ -23,36 +23,38 @@
     [[nodiscard]] auto isKnown() const -> bool { return high != 0 || low != 0; }
 };
 
-/** For tables by fingerprint: each part of one is a hash already. */
+/** Hash function for containers keyed by fingerprint. Half of the fingerprint is used as it is, since it is a hash
+    already.
+*/
 struct FingerprintHash
 {
     auto operator() (const RequestFingerprint& request) const -> std::size_t { return request.low; }
 };
 
-/** @returns the hash by which replicas are ranked for a request. */
+/** @returns the hash by which replicas are ranked for a request; the same on every node. */
 inline auto rankingHash (const RequestFingerprint& request) -> std::uint64_t
 {
     return combineHashes (request.high, request.low);
 }
 
-/** What makes two requests the same. */
+/** The parts of a request that its fingerprint covers: two requests are the same when all of them are equal. */
 struct RequestContent
 {
     std::string_view account;
     std::string_view method;
     std::string_view host;
-    /** With its query. */
+    /** Path and query. */
     std::string_view target;
     std::string_view body;
 };
 
-/** @returns SipHash-128 of a request's content. Who does not know the secret can't make two requests look alike.
+/** @returns the SipHash-128 of a request's content, keyed by the secret, so that callers can't construct collisions.
 
-    @param secret  the fleet's own; without one there is no fingerprint
+    @param secret  shared by the nodes of the fleet; an empty one yields no fingerprint
 */
 auto fingerprintOf (std::string_view secret, const RequestContent& content) -> RequestFingerprint;
 
-/** @returns 32 hexadecimal digits. */
+/** @returns the fingerprint as 32 hexadecimal digits. */
 auto toString (const RequestFingerprint& fingerprint) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/crashes/SuspectPacing.h
+++ b/modules/snowrudder_requests/crashes/SuspectPacing.h
@@ -7,46 +7,49 @@
 namespace snowrudder
 {
 
-/** A pause is up to so long for each request that may be fatal, so that they run apart and one replica's end speaks against one. */
+/** Longest random pause before a suspected request, for each request that is suspected at the time. The pauses keep
+    suspects from running on the same replica at once, so that a crash counts against only one of them.
+*/
 inline constexpr auto maxPausePerSuspect = Duration (250ms);
+/** Upper bound of that pause, for any number of suspects. */
 inline constexpr auto maxSuspectPause = Duration (500ms);
 
-/** How often a waiting request looks for a verdict. */
+/** Interval at which a waiting request polls for a verdict. */
 inline constexpr auto verdictPollInterval = Duration (10ms);
 
-/** @returns whether a request pauses before it waits for a verdict. */
+/** @returns whether a request pauses for a random time before it waits for a verdict. */
 [[nodiscard]] constexpr auto shouldPause (const CrashAssessment& assessment) -> bool
 {
     return assessment.verdict == CrashVerdict::suspected && assessment.crashes >= crashesToPause;
 }
 
-/** @returns how long it pauses at most. */
+/** @returns the longest time for which a request pauses. */
 [[nodiscard]] constexpr auto maxPauseFor (const CrashAssessment& assessment) -> Duration
 {
     const auto suspects = static_cast<std::int64_t> (std::max (assessment.suspects, std::size_t { 1 }));
     return std::min (maxSuspectPause, maxPausePerSuspect * suspects);
 }
 
-/** What a node knows beside a request that may be fatal. */
+/** The state of this node that decides, with its assessment, whether a suspected request waits. */
 struct SuspectContext
 {
-    /** Whether this node runs the same request now. */
+    /** Whether this node is running the same request now. */
     bool isRunning = false;
-    /** Whether under half of the service's replicas are left: those are not risked for a request under which several ended. */
+    /** Whether fewer than half of the service's replicas are left: those are not risked for a suspected request. */
     bool areReplicasScarce = false;
 };
 
-/** @returns whether a request has to wait: for its verdict, for the end of the same request's run, for word of the replica that it
-    ran on last, or for replicas that come back.
+/** @returns whether a request has to wait: for its verdict, for a run of the same request to end, for evidence of
+    whether the replica that ran it last has crashed, or for replicas to return.
 */
-[[nodiscard]] constexpr auto shouldWait (const CrashAssessment& assessment, const SuspectContext& around)
+[[nodiscard]] constexpr auto shouldWait (const CrashAssessment& assessment, const SuspectContext& context)
     -> bool
 {
-    const auto isProofOut = assessment.unconfirmedCrashes > 0 &&
+    const auto isProofPending = assessment.unconfirmedCrashes > 0 &&
                             assessment.crashes + assessment.unconfirmedCrashes >= crashesToPause;
 
     if (assessment.verdict == CrashVerdict::suspected)
-        return around.isRunning || around.areReplicasScarce || isProofOut;
+        return context.isRunning || context.areReplicasScarce || isProofPending;
 
     return assessment.verdict == CrashVerdict::undecided;
 }
--- a/tests/unit/CrashTests.cpp
+++ b/tests/unit/CrashTests.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** Any point in time but the clock's first. */
+/** An arbitrary time other than the clock's epoch, which stands for an unset time. */
 const auto start = TimePoint() + std::chrono::hours (1);
 
 auto requestNamed (std::string_view body) -> RequestFingerprint
@@ -20,7 +20,7 @@
     return fingerprintOf ("secret", { "alpha", "POST", "one.example", "/x", body });
 }
 
-/** Notes a crash of the replica with a number. */
+/** Records a crash of the replica with the given number. */
 auto crash (CrashTable& table,
             const RequestFingerprint& request,
             std::string_view account,
@@ -30,22 +30,22 @@
     table.recordCrash (request, account, { static_cast<std::uint64_t> (replica), now });
 }
 
-/** Nodes that tell each other what is new, each message with a delay and some of them lost. */
+/** Nodes that send their evidence to each other. Messages are delayed, and a share of them is lost. */
 class Fleet
 {
 public:
-    Fleet (std::size_t size, double share, unsigned seed) : nodes (size), lost (share), random (seed) {}
+    Fleet (std::size_t size, double share, unsigned seed) : nodes (size), lossRate (share), random (seed) {}
 
     auto node (std::size_t index) -> CrashTable& { return nodes[index]; }
     auto size() const -> std::size_t { return nodes.size(); }
 
-    /** Plays what is told and heard up to a point in time. */
-    auto playUntil (TimePoint end) -> void
+    /** Sends and delivers messages up to a point in time. */
+    auto runUntil (TimePoint end) -> void
     {
         for (; now < end; now += step)
         {
             for (std::size_t from = 0; from < nodes.size(); ++from)
-                tell (from);
+                sendFrom (from);
 
             while (! inFlight.empty() && inFlight.begin()->first <= now)
             {
@@ -67,11 +67,11 @@
     }
 
 private:
-    auto tell (std::size_t from) -> void
+    auto sendFrom (std::size_t from) -> void
     {
         for (const auto& evidence : nodes[from].takeUnsent (100))
             for (std::size_t to = 0; to < nodes.size(); ++to)
-                if (to != from && std::uniform_real_distribution (0.0, 1.0) (random) >= lost)
+                if (to != from && std::uniform_real_distribution (0.0, 1.0) (random) >= lossRate)
                     inFlight.emplace (now + 1ms * std::uniform_int_distribution (1, 90) (random),
                                       std::pair (to, evidence));
     }
@@ -79,7 +79,7 @@
     static constexpr auto step = Duration (20ms);
 
     std::vector<CrashTable> nodes;
-    double lost = 0.0;
+    double lossRate = 0.0;
     std::mt19937 random;
     TimePoint now = start;
     std::multimap<TimePoint, std::pair<std::size_t, CrashEvidence>> inFlight;
@@ -87,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE ("A fingerprint names what a request asks for and nothing else")
+TEST_CASE ("A fingerprint depends on every part of a request's content and on the secret")
 {
     const RequestContent content { "alpha", "POST", "one.example", "/x?y=1", "body" };
     const auto fingerprint = fingerprintOf ("secret", content);
@@ -98,13 +98,13 @@
     CHECK_FALSE (fingerprintOf ("", content).isKnown());
     CHECK (toString (fingerprint).size() == 32);
 
-    // A part's end can't pass for the next one's begin.
+    // Bytes moved from one part to the next change the fingerprint.
     CHECK (fingerprint != fingerprintOf ("secret", { "alpha", "POST", "one.example", "/x?y=1b", "ody" }));
     CHECK (fingerprint != fingerprintOf ("secret", { "beta", "POST", "one.example", "/x?y=1", "body" }));
     CHECK (fingerprint != fingerprintOf ("secret", { "alpha", "POST", "one.example", "/x?y=2", "body" }));
 }
 
-TEST_CASE ("Nodes that saw one crash each agree on three, and one crash told by two counts once")
+TEST_CASE ("Crashes seen by different nodes add up on all nodes, and one reported by two nodes counts once")
 {
     const auto nodes = GENERATE (std::size_t { 7 }, std::size_t { 77 }, std::size_t { 295 });
     const auto request = requestNamed ("fatal");
@@ -112,23 +112,23 @@
 
     crash (fleet.node (0), request, "alpha", 11, fleet.time());
     crash (fleet.node (1), request, "alpha", 11, fleet.time());
-    fleet.playUntil (start + 200ms);
+    fleet.runUntil (start + 200ms);
     crash (fleet.node (2), request, "alpha", 12, fleet.time());
-    fleet.playUntil (start + 2s);
+    fleet.runUntil (start + 2s);
     CHECK (fleet.stoppedAt (request) == 0);
     CHECK (fleet.node (5).assess (request, fleet.time()).crashes == 2);
 
     crash (fleet.node (3), request, "alpha", 13, fleet.time());
-    fleet.playUntil (start + 2s + 800ms);
+    fleet.runUntil (start + 2s + 800ms);
     CHECK (fleet.stoppedAt (request) == nodes);
 
     for (std::size_t index = 1; index < nodes; ++index)
         CHECK (fleet.node (index).digest (fleet.time()) == fleet.node (0).digest (fleet.time()));
 }
 
-TEST_CASE ("Evidence merges in any order, late and twice, and comes to the same")
+TEST_CASE ("Evidence merges to the same result in any order, late and twice")
 {
-    std::vector<CrashEvidence> told;
+    std::vector<CrashEvidence> messages;
     const auto request = requestNamed ("fatal");
 
     for (const auto number : { 1, 2, 3, 4 })
@@ -137,66 +137,66 @@
         evidence.request = request;
         evidence.crashes.push_back ({ static_cast<std::uint64_t> (number), start + number * 100ms });
         evidence.lastSeen = evidence.crashes.back().at;
-        told.push_back (evidence);
+        messages.push_back (evidence);
     }
 
-    told.push_back (told.front());
+    messages.push_back (messages.front());
     std::mt19937 random (7);
 
     for (auto round = 0; round < 20; ++round)
     {
-        std::ranges::shuffle (told, random);
+        std::ranges::shuffle (messages, random);
         CrashTable table;
 
-        for (const auto& evidence : told)
+        for (const auto& evidence : messages)
             table.merge (evidence, false, start + 1s);
 
-        const auto judged = table.assess (request, start + 2s);
-        CHECK (judged.verdict == CrashVerdict::stopped);
-        CHECK (judged.crashes == 4);
-        CHECK (judged.lastCrash == start + 400ms);
+        const auto assessment = table.assess (request, start + 2s);
+        CHECK (assessment.verdict == CrashVerdict::stopped);
+        CHECK (assessment.crashes == 4);
+        CHECK (assessment.lastCrash == start + 400ms);
     }
 }
 
-TEST_CASE ("A request that many programs repeat and that succeeds is not stopped by crashes beside it")
+TEST_CASE ("A successful request that many programs repeat is not stopped by unrelated crashes")
 {
     const auto poll = requestNamed ("status");
     Fleet fleet (7, 0.05, 3);
     fleet.node (6).recordSuccess (poll, fleet.time());
 
-    // A failure domain's replicas end within a second, each with the poll running on it.
+    // All replicas of a failure domain crash within a second, each while it runs the poll.
     for (const auto replica : { 1, 2, 3, 4, 5 })
     {
-        fleet.playUntil (start + replica * 200ms);
+        fleet.runUntil (start + replica * 200ms);
         crash (fleet.node (static_cast<std::size_t> (replica)), poll, "alpha", replica, fleet.time());
     }
 
-    fleet.playUntil (start + 3s);
+    fleet.runUntil (start + 3s);
     CHECK (fleet.stoppedAt (poll) == 0);
     CHECK (fleet.node (1).assess (poll, fleet.time()).verdict == CrashVerdict::clear);
 }
 
-TEST_CASE ("A success after the crashes clears a request at all nodes, also where it was stopped")
+TEST_CASE ("A success after the crashes clears a request on all nodes, even if it was stopped")
 {
     const auto request = requestNamed ("unlucky");
     Fleet fleet (7, 0.05, 4);
 
     for (const auto replica : { 1, 2, 3 })
     {
-        fleet.playUntil (start + replica * 1s);
+        fleet.runUntil (start + replica * 1s);
         crash (fleet.node (0), request, "alpha", replica, fleet.time());
     }
 
-    fleet.playUntil (start + 4s);
+    fleet.runUntil (start + 4s);
     REQUIRE (fleet.stoppedAt (request) == 7);
 
-    // An attempt that was on its way before the verdict.
+    // This attempt was sent before the verdict.
     fleet.node (4).recordSuccess (request, fleet.time());
-    fleet.playUntil (start + 5s);
+    fleet.runUntil (start + 5s);
     CHECK (fleet.stoppedAt (request) == 0);
 }
 
-TEST_CASE ("Replicas that end at the same moment count once")
+TEST_CASE ("Crashes of several replicas at the same moment count once")
 {
     CrashTable table;
     const auto request = requestNamed ("repeated");
@@ -208,42 +208,42 @@
     CHECK (table.assess (request, start + 1s).verdict == CrashVerdict::suspected);
 }
 
-TEST_CASE ("A request that ran beside one that ends its replicas is not taken for it")
+TEST_CASE ("A request that only ran beside a fatal one is not stopped")
 {
     const auto fatal = requestNamed ("fatal");
-    const auto beside = requestNamed ("beside");
+    const auto bystander = requestNamed ("beside");
     CrashTable table;
 
-    SECTION ("it ran there on three of them")
+    SECTION ("it shares three of the fatal request's four crashes")
     {
         for (const auto replica : { 1, 2, 3, 4 })
             crash (table, fatal, "alpha", replica, start + replica * 100ms);
 
         for (const auto replica : { 1, 2, 3 })
-            crash (table, beside, "beta", replica, start + replica * 100ms);
+            crash (table, bystander, "beta", replica, start + replica * 100ms);
 
         CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::stopped);
-        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::suspected);
+        CHECK (table.assess (bystander, start + 2s).verdict == CrashVerdict::suspected);
     }
 
-    SECTION ("where both ran on the same ones, both may run on until one is told from the other")
+    SECTION ("if they share all crashes, neither is stopped until a success distinguishes them")
     {
         for (const auto replica : { 1, 2, 3 })
         {
             crash (table, fatal, "alpha", replica, start + replica * 100ms);
-            crash (table, beside, "beta", replica, start + replica * 100ms);
+            crash (table, bystander, "beta", replica, start + replica * 100ms);
         }
 
         CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::suspected);
-        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::suspected);
+        CHECK (table.assess (bystander, start + 2s).verdict == CrashVerdict::suspected);
 
-        table.recordSuccess (beside, start + 2s);
+        table.recordSuccess (bystander, start + 2s);
         CHECK (table.assess (fatal, start + 2s).verdict == CrashVerdict::stopped);
-        CHECK (table.assess (beside, start + 2s).verdict == CrashVerdict::clear);
+        CHECK (table.assess (bystander, start + 2s).verdict == CrashVerdict::clear);
     }
 }
 
-TEST_CASE ("Requests run at random beside a fatal one that goes on at another replica are never stopped")
+TEST_CASE ("Requests that run beside a fatal one on random replicas are never stopped")
 {
     constexpr auto replicas = std::uint_fast32_t { 9 };
     constexpr auto seeds = 200U;
@@ -263,7 +263,7 @@
 
         auto now = start;
 
-        // Each crash ends its replica's other requests too, and they go on at replicas drawn anew.
+        // A crash interrupts the other requests on its replica too; they go on at random replicas.
         while (table.assess (fatal, now).verdict != CrashVerdict::stopped && crashes < 20)
         {
             now += 150ms;
@@ -295,7 +295,7 @@
     CHECK (crashesInAll <= seeds * 4);
 }
 
-TEST_CASE ("A verdict lasts while the request goes on coming, and is forgotten when it has not for long")
+TEST_CASE ("A verdict lasts while the request keeps arriving and expires after it stops")
 {
     CrashTable table;
     const auto request = requestNamed ("fatal");
@@ -311,7 +311,7 @@
     CHECK (table.sizes (start + 20min).known == 0);
 }
 
-TEST_CASE ("An account with a thousand requests of the kind pushes out no other account's")
+TEST_CASE ("An account with thousands of crashing requests does not evict those of another account")
 {
     CrashTable table;
     const auto other = requestNamed ("of another account");
@@ -326,27 +326,27 @@
     CHECK (table.assess (other, start + 6s).verdict == CrashVerdict::stopped);
 }
 
-TEST_CASE ("A node that missed all of it learns it from one that knows")
+TEST_CASE ("A node without evidence receives all of it from another node")
 {
-    CrashTable knows;
-    CrashTable started;
+    CrashTable informed;
+    CrashTable newNode;
     const auto request = requestNamed ("fatal");
 
     for (const auto replica : { 1, 2, 3 })
-        crash (knows, request, "alpha", replica, start + replica * 1s);
+        crash (informed, request, "alpha", replica, start + replica * 1s);
 
     const auto now = start + 1min;
-    CHECK (knows.digest (now) != started.digest (now));
+    CHECK (informed.digest (now) != newNode.digest (now));
 
-    for (const auto& evidence : knows.all (40, now))
-        started.merge (evidence, false, now);
+    for (const auto& evidence : informed.all (40, now))
+        newNode.merge (evidence, false, now);
 
-    CHECK (started.assess (request, now).verdict == CrashVerdict::stopped);
-    CHECK (knows.digest (now) == started.digest (now));
-    CHECK (started.takeUnsent (40).empty());
+    CHECK (newNode.assess (request, now).verdict == CrashVerdict::stopped);
+    CHECK (informed.digest (now) == newNode.digest (now));
+    CHECK (newNode.takeUnsent (40).empty());
 }
 
-TEST_CASE ("A suspect waits for word of the replica that it ran on last")
+TEST_CASE ("A suspected request waits until the crash of its last replica is confirmed, refuted or times out")
 {
     CrashTable table;
     const auto request = requestNamed ("fatal");
@@ -360,23 +360,23 @@
     CHECK (table.assess (request, now).unconfirmedCrashes == 1);
     CHECK (shouldWait (table.assess (request, now), {}));
 
-    // The replica answers a request later.
+    // Refuted: the replica answers another request later.
     table.recordAlive (2, now + 100ms);
     CHECK_FALSE (shouldWait (table.assess (request, now), {}));
 
-    // No word at all.
+    // Timed out: there is no evidence in either direction.
     table.recordUnconfirmedCrash (request, "alpha", { 3, now, true }, now);
     CHECK (shouldWait (table.assess (request, now + confirmationTimeout), {}));
     CHECK_FALSE (shouldWait (table.assess (request, now + confirmationTimeout + 1ms), {}));
 
-    // Proved.
+    // Confirmed.
     table.recordUnconfirmedCrash (request, "alpha", { 4, now, true }, now);
     table.recordCrash (request, "alpha", { 4, now, true });
     CHECK (table.assess (request, now).unconfirmedCrashes == 1);
     CHECK (table.assess (request, now).crashes == 2);
 }
 
-TEST_CASE ("A request that succeeds elsewhere does not wait for word of a replica")
+TEST_CASE ("A request that succeeds elsewhere has no unconfirmed crashes and does not wait")
 {
     CrashTable table;
     const auto request = requestNamed ("poll");
@@ -386,22 +386,22 @@
     CHECK (table.assess (request, start + 2s).verdict == CrashVerdict::clear);
 }
 
-TEST_CASE ("Open ends are told with the rest, and a proof told later takes their place")
+TEST_CASE ("Unconfirmed crashes are sent to other nodes, and a proof sent later replaces them")
 {
-    CrashTable saw;
-    CrashTable heard;
+    CrashTable sender;
+    CrashTable receiver;
     const auto request = requestNamed ("fatal");
-    saw.recordUnconfirmedCrash (request, "alpha", { 1, start, true }, start);
-    saw.recordUnconfirmedCrash (request, "alpha", { 2, start + 100ms, true }, start + 100ms);
+    sender.recordUnconfirmedCrash (request, "alpha", { 1, start, true }, start);
+    sender.recordUnconfirmedCrash (request, "alpha", { 2, start + 100ms, true }, start + 100ms);
     const auto shouldForward = false;
 
-    for (const auto& evidence : saw.takeUnsent (10))
-        CHECK (heard.merge (evidence, shouldForward, start + 200ms));
+    for (const auto& evidence : sender.takeUnsent (10))
+        CHECK (receiver.merge (evidence, shouldForward, start + 200ms));
 
-    CHECK (heard.assess (request, start + 200ms).verdict == CrashVerdict::suspected);
-    CHECK (heard.assess (request, start + 200ms).unconfirmedCrashes == 2);
-    crash (saw, request, "alpha", 1, start);
-    heard.merge (saw.takeUnsent (10).front(), shouldForward, start + 300ms);
-    CHECK (heard.assess (request, start + 300ms).unconfirmedCrashes == 1);
-    CHECK (heard.assess (request, start + 300ms).crashes == 1);
+    CHECK (receiver.assess (request, start + 200ms).verdict == CrashVerdict::suspected);
+    CHECK (receiver.assess (request, start + 200ms).unconfirmedCrashes == 2);
+    crash (sender, request, "alpha", 1, start);
+    receiver.merge (sender.takeUnsent (10).front(), shouldForward, start + 300ms);
+    CHECK (receiver.assess (request, start + 300ms).unconfirmedCrashes == 1);
+    CHECK (receiver.assess (request, start + 300ms).crashes == 1);
 }
--- a/tests/unit/CrashWorld.cpp
+++ b/tests/unit/CrashWorld.cpp
@@ -11,20 +11,20 @@
 {
 
 constexpr auto tick = Duration (5ms);
-constexpr auto fatalTime = Duration (50ms);
+constexpr auto fatalRunTime = Duration (50ms);
 constexpr auto serviceTime = Duration (30ms);
 constexpr auto fatalPause = Duration (80ms);
 constexpr auto otherPause = Duration (20ms);
-constexpr auto mostAttempts = 2U;
-constexpr auto mostRepeats = 1U;
+constexpr auto maxAttempts = 2U;
+constexpr auto maxRepeats = 1U;
 constexpr auto otherCallers = std::size_t { 8 };
-constexpr auto lostShare = 0.05;
+constexpr auto lossRate = 0.05;
 
 } // namespace
 
 CrashWorld::CrashWorld (const CrashPlan& crashPlan)
     : plan (crashPlan), random (crashPlan.seed), now (TimePoint() + std::chrono::hours (1)), began (now),
-      tables (crashPlan.nodes), places (crashPlan.replicas), knownDead (crashPlan.nodes),
+      tables (crashPlan.nodes), places (crashPlan.replicas), knownCrashed (crashPlan.nodes),
       crashTimes (crashPlan.fatalCallers), sendTimes (crashPlan.fatalCallers)
 {
     for (auto& place : places)
@@ -51,7 +51,7 @@
 
     for (; now < began + plan.length; now += tick)
     {
-        endReplicas();
+        crashReplicas();
         deliverProofs();
 
         while (! inFlight.empty() && inFlight.begin()->first <= now)
@@ -87,28 +87,28 @@
                                           CrashOutcome::lateAfter] (TimePoint sent) { return sent > late; }));
     }
 
-    outcome.innocentsStopped = innocentsStopped.size();
+    outcome.nonFatalStopped = nonFatalStopped.size();
     return outcome;
 }
 
-auto CrashWorld::endReplicas() -> void
+auto CrashWorld::crashReplicas() -> void
 {
     for (std::size_t number = 0; number < places.size(); ++number)
     {
         auto& place = places[number];
 
-        if (place.back && now >= *place.back)
+        if (place.replacedAt && now >= *place.replacedAt)
         {
             place = {};
             place.id = nextIncarnation++;
         }
 
-        if (! place.ends || now < *place.ends)
+        if (! place.crashesAt || now < *place.crashesAt)
             continue;
 
-        place.ends.reset();
-        place.ended = now;
-        place.back = now + plan.entryLifetime;
+        place.crashesAt.reset();
+        place.crashedAt = now;
+        place.replacedAt = now + plan.entryLifetime;
         firstCrash = firstCrash.value_or (now);
 
         for (auto& caller : callers)
@@ -132,7 +132,7 @@
 
                        const auto identifiesIncarnation = true;
                        tables[proof.node].recordCrash (proof.request, proof.account,
-                                                       { proof.replica, proof.ended, identifiesIncarnation });
+                                                       { proof.replica, proof.crashedAt, identifiesIncarnation });
                        return true;
                    });
 }
@@ -142,7 +142,7 @@
     for (std::size_t from = 0; from < tables.size(); ++from)
         for (const auto& evidence : tables[from].takeUnsent (24))
             for (std::size_t to = 0; to < tables.size(); ++to)
-                if (to != from && ! isChosen (lostShare))
+                if (to != from && ! isChosen (lossRate))
                     inFlight.emplace (now + drawUpTo (plan.maxMessageDelay), Message { to, evidence });
 }
 
@@ -150,7 +150,7 @@
 {
     switch (caller.phase)
     {
-        case Phase::resting:
+        case Phase::idle:
             if (now < caller.until)
                 return;
 
@@ -188,7 +188,7 @@
             if (now < caller.until)
                 return;
 
-            if (caller.attempts >= mostAttempts)
+            if (caller.attempts >= maxAttempts)
             {
                 finish (caller, false);
                 return;
@@ -213,7 +213,7 @@
     if (assessment.verdict == CrashVerdict::stopped)
     {
         if (! caller.isFatal)
-            innocentsStopped.emplace (caller.request.high, caller.request.low);
+            nonFatalStopped.emplace (caller.request.high, caller.request.low);
 
         tables[caller.node].recordStopped (caller.request, now);
         finish (caller, false);
@@ -223,7 +223,7 @@
     if (shouldWait (assessment, { isRunning (caller), areReplicasScarce (caller.node) }))
         return;
 
-    const auto choice = choosePlace (caller, assessment);
+    const auto choice = chooseReplica (caller, assessment);
 
     if (! choice)
         return;
@@ -231,10 +231,10 @@
     const auto place = *choice;
     auto& chosen = places[place];
 
-    // It refuses, and the request goes on at once.
-    if (chosen.ended && ! plan.isAddressAccepting)
+    // The address refuses the connection, and the request goes on to another replica at once.
+    if (chosen.crashedAt && ! plan.isAddressAccepting)
     {
-        knownDead[caller.node].insert (chosen.id);
+        knownCrashed[caller.node].insert (chosen.id);
         return;
     }
 
@@ -244,7 +244,7 @@
     ++caller.attempts;
     caller.until = now + serviceTime;
 
-    if (chosen.ended)
+    if (chosen.crashedAt)
     {
         cut (caller, chosen);
         return;
@@ -254,10 +254,10 @@
         return;
 
     sendTimes[caller.index].push_back (now);
-    chosen.ends = std::min (chosen.ends.value_or (now + fatalTime), now + fatalTime);
+    chosen.crashesAt = std::min (chosen.crashesAt.value_or (now + fatalRunTime), now + fatalRunTime);
 }
 
-auto CrashWorld::choosePlace (const Caller& caller, const CrashAssessment& assessment)
+auto CrashWorld::chooseReplica (const Caller& caller, const CrashAssessment& assessment)
     -> std::optional<std::size_t>
 {
     const auto isApart = assessment.crashes >= crashesToPause;
@@ -277,7 +277,7 @@
     {
         const auto& listed = places[place];
 
-        if (knownDead[caller.node].contains (listed.id))
+        if (knownCrashed[caller.node].contains (listed.id))
             continue;
 
         if (isApart && ! isInPart (rankingHash (caller.request), suspects, listed.id))
@@ -300,33 +300,33 @@
     return best ? best : other ? other : random() % places.size();
 }
 
-auto CrashWorld::cut (Caller& caller, const Incarnation& ended) -> void
+auto CrashWorld::cut (Caller& caller, const Incarnation& crashed) -> void
 {
-    const auto lapse = plan.isAddressAccepting ? *ended.ended + plan.entryLifetime - now : Duration::zero();
-    const auto proved = std::max (lapse, Duration::zero()) + drawUpTo (plan.maxProofDelay);
-    // A request waits for the proof of its replica's end no longer than for a probe.
+    const auto expiry = plan.isAddressAccepting ? *crashed.crashedAt + plan.entryLifetime - now : Duration::zero();
+    const auto proved = std::max (expiry, Duration::zero()) + drawUpTo (plan.maxProofDelay);
+    // A request waits for the proof of a crash no longer than a probe takes.
     constexpr auto probeTime = Duration (50ms);
-    proofs.push_back ({ now + proved, now, caller.node, caller.request, caller.account, ended.id });
+    proofs.push_back ({ now + proved, now, caller.node, caller.request, caller.account, crashed.id });
 
     if (! plan.isAddressAccepting)
-        knownDead[caller.node].insert (ended.id);
+        knownCrashed[caller.node].insert (crashed.id);
 
     caller.phase = Phase::awaitingProof;
     caller.until = now + std::min (proved, probeTime);
 
-    // An address that does not refuse at once leaves the end open.
+    // The crash stays unconfirmed while the address does not refuse connections.
     const auto identifiesIncarnation = true;
 
     if (proved > probeTime)
         tables[caller.node].recordUnconfirmedCrash (caller.request, caller.account,
-                                                    { ended.id, now, identifiesIncarnation }, now);
+                                                    { crashed.id, now, identifiesIncarnation }, now);
 }
 
 auto CrashWorld::finish (Caller& caller, bool isServed) -> void
 {
     constexpr auto settled = Duration (2s);
 
-    if (! caller.isFatal && ! isServed && caller.repeats < mostRepeats)
+    if (! caller.isFatal && ! isServed && caller.repeats < maxRepeats)
     {
         ++caller.repeats;
         caller.node = random() % plan.nodes;
@@ -343,24 +343,24 @@
         outcome.othersServed += isServed ? 1 : 0;
     }
 
-    caller.phase = Phase::resting;
+    caller.phase = Phase::idle;
     caller.until = now + (caller.isFatal ? fatalPause : otherPause);
 }
 
-auto CrashWorld::isRunning (const Caller& asking) const -> bool
+auto CrashWorld::isRunning (const Caller& current) const -> bool
 {
     return std::ranges::any_of (callers,
                                 [&] (const Caller& caller)
                                 {
-                                    return &caller != &asking && caller.phase == Phase::running &&
-                                           caller.node == asking.node && caller.request == asking.request;
+                                    return &caller != &current && caller.phase == Phase::running &&
+                                           caller.node == current.node && caller.request == current.request;
                                 });
 }
 
 auto CrashWorld::areReplicasScarce (std::size_t node) const -> bool
 {
     const auto left = std::ranges::count_if (places, [&] (const Incarnation& place)
-                                             { return ! knownDead[node].contains (place.id); });
+                                             { return ! knownCrashed[node].contains (place.id); });
     return 2 * static_cast<std::size_t> (left) < places.size();
 }
 
--- a/tests/unit/CrashWorld.h
+++ b/tests/unit/CrashWorld.h
@@ -12,47 +12,49 @@
 namespace snowrudder::tests
 {
 
-/** What a run of a CrashWorld is made of. */
+/** Parameters of a simulation with CrashWorld. */
 struct CrashPlan
 {
     std::size_t nodes = 5;
     std::size_t replicas = 12;
-    /** Callers each of whom repeats a request of its own that ends its replicas. */
+    /** Callers that each repeat a fatal request of their own. */
     std::size_t fatalCallers = 2;
+    /** Whether the fatal callers share one client account. */
     bool isOneAccount = false;
-    /** From the end of a connection to the proof that its replica has ended, at most. */
+    /** Longest time from the end of a connection to the proof that its replica has crashed. */
     Duration maxProofDelay = 30ms;
-    /** From node to node, at most. */
+    /** Longest delay of a message between nodes. */
     Duration maxMessageDelay = 90ms;
-    /** A replica that ended is listed for so long, and another one runs in its place after. */
+    /** A crashed replica stays listed for this time; then a new incarnation replaces it. */
     Duration entryLifetime = 1200ms;
-    /** Whether the address of a replica that ended goes on to accept and close connections, so that its end is proved only when
-        its entry goes.
+    /** Whether the address of a crashed replica goes on accepting and closing connections, so that the crash is proved
+        only when the entry expires.
     */
     bool isAddressAccepting = false;
     Duration length = 12s;
     unsigned seed = 0;
 };
 
-/** What came of it. */
+/** Result of a simulation. */
 struct CrashOutcome
 {
-    /** Replicas that ended under each fatal request. */
+    /** Number of crashes caused by each fatal request. */
     std::vector<std::size_t> crashes;
-    /** Sends of a fatal request later than `lateAfter` after it had ended its third replica. */
+    /** Sends of a fatal request more than `lateAfter` after its third crash. */
     std::size_t lateSends = 0;
-    /** Fatal requests that some node still sends at the end. */
+    /** Fatal requests that some node does not stop at the end. */
     std::size_t notStopped = 0;
-    std::size_t innocentsStopped = 0;
-    /** Of the other callers' requests sent 2 s after the first crash and later. */
+    std::size_t nonFatalStopped = 0;
+    /** The other callers' requests sent 2 s after the first crash or later, and those of them that succeeded. */
     std::size_t othersSent = 0;
     std::size_t othersServed = 0;
 
     static constexpr auto lateAfter = Duration (3s);
 };
 
-/** Nodes, replicas that end under some requests and come back, and callers, in virtual time. Nodes decide by CrashTable and the
-    pacing of suspects; replicas that ended are listed for a while, and messages between nodes are late and get lost.
+/** Simulates nodes, callers and replicas in virtual time. Some requests crash the replicas that run them. Nodes decide
+    with CrashTable and the pacing of suspects; crashed replicas stay listed for a while and are then replaced; messages
+    between nodes are delayed and lost.
 */
 class CrashWorld
 {
@@ -62,17 +64,18 @@
     auto play() -> CrashOutcome;
 
 private:
+    /** One start of a replica. */
     struct Incarnation
     {
         std::uint64_t id = 0;
-        std::optional<TimePoint> ends;
-        std::optional<TimePoint> ended;
-        std::optional<TimePoint> back;
+        std::optional<TimePoint> crashesAt;
+        std::optional<TimePoint> crashedAt;
+        std::optional<TimePoint> replacedAt;
     };
 
     enum class Phase
     {
-        resting,
+        idle,
         pausing,
         waiting,
         running,
@@ -85,7 +88,7 @@
         bool isFatal = false;
         bool repeatsOneBody = false;
         std::size_t index = 0;
-        Phase phase = Phase::resting;
+        Phase phase = Phase::idle;
         TimePoint until {};
         TimePoint sentAt {};
         RequestFingerprint request;
@@ -93,36 +96,38 @@
         std::size_t place = 0;
         std::uint64_t replica = 0;
         std::uint32_t attempts = 0;
-        /** How often the caller itself has repeated the request. */
+        /** How often the caller has repeated the request after its attempts failed. */
         std::uint32_t repeats = 0;
     };
 
+    /** A proof of a crash that a node obtains at a later time. */
     struct Proof
     {
         TimePoint at {};
-        TimePoint ended {};
+        TimePoint crashedAt {};
         std::size_t node = 0;
         RequestFingerprint request;
         std::string account;
         std::uint64_t replica = 0;
     };
 
+    /** Evidence on its way to a node. */
     struct Message
     {
         std::size_t node = 0;
         CrashEvidence evidence;
     };
 
-    auto endReplicas() -> void;
+    auto crashReplicas() -> void;
     auto deliverProofs() -> void;
     auto sendEvidence() -> void;
     auto step (Caller& caller) -> void;
     auto beginAttempt (Caller& caller) -> void;
     auto send (Caller& caller) -> void;
-    auto choosePlace (const Caller& caller, const CrashAssessment& assessment) -> std::optional<std::size_t>;
-    auto cut (Caller& caller, const Incarnation& ended) -> void;
+    auto chooseReplica (const Caller& caller, const CrashAssessment& assessment) -> std::optional<std::size_t>;
+    auto cut (Caller& caller, const Incarnation& crashed) -> void;
     auto finish (Caller& caller, bool isServed) -> void;
-    auto isRunning (const Caller& asking) const -> bool;
+    auto isRunning (const Caller& current) const -> bool;
     auto areReplicasScarce (std::size_t node) const -> bool;
     auto drawUpTo (Duration most) -> Duration;
     auto isChosen (double share) -> bool;
@@ -134,14 +139,16 @@
     std::optional<TimePoint> firstCrash;
     std::uint64_t nextIncarnation = 1;
     std::vector<CrashTable> tables;
+    /** The current incarnation of each replica. */
     std::vector<Incarnation> places;
-    std::vector<std::set<std::uint64_t>> knownDead;
+    /** Incarnations that each node knows to have crashed. */
+    std::vector<std::set<std::uint64_t>> knownCrashed;
     std::vector<Caller> callers;
     std::vector<Proof> proofs;
     std::multimap<TimePoint, Message> inFlight;
     std::vector<std::vector<TimePoint>> crashTimes;
     std::vector<std::vector<TimePoint>> sendTimes;
-    std::set<std::pair<std::uint64_t, std::uint64_t>> innocentsStopped;
+    std::set<std::pair<std::uint64_t, std::uint64_t>> nonFatalStopped;
     std::size_t bodies = 0;
     CrashOutcome outcome;
 };
--- a/tests/unit/CrashWorldTests.cpp
+++ b/tests/unit/CrashWorldTests.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 
-constexpr auto mostCrashes = std::size_t { 5 };
-constexpr auto servedShare = 0.99;
+constexpr auto maxCrashes = std::size_t { 5 };
+constexpr auto minServedShare = 0.99;
 
-/** Seeds of each plan; SNOWRUDDER_CRASH_SEEDS asks for more. */
+/** @returns the number of seeds to run for each plan; the variable SNOWRUDDER_CRASH_SEEDS overrides it. */
 auto seeds() -> unsigned
 {
-    constexpr auto usual = 20U;
+    constexpr auto defaultCount = 20U;
     const auto* const asked = std::getenv ("SNOWRUDDER_CRASH_SEEDS");
-    return asked == nullptr ? usual : static_cast<unsigned> (std::strtoul (asked, nullptr, 10));
+    return asked == nullptr ? defaultCount : static_cast<unsigned> (std::strtoul (asked, nullptr, 10));
 }
 
 auto recordCrash (CrashTable& table, const RequestFingerprint& request, std::uint64_t replica, TimePoint now)
@@ -27,45 +27,45 @@
     table.recordCrash (request, "alpha", { replica, now });
 }
 
-/** What came of all seeds. */
-struct Sums
+/** Results of all seeds of a plan. */
+struct Totals
 {
-    std::size_t mostCrashes = 0;
+    std::size_t maxCrashes = 0;
     std::size_t lateSends = 0;
     std::size_t notStopped = 0;
-    std::size_t innocentsStopped = 0;
+    std::size_t nonFatalStopped = 0;
     double sent = 0.0;
     double served = 0.0;
 };
 
-auto playSeeds (CrashPlan plan, unsigned count = seeds()) -> Sums
+auto runSeeds (CrashPlan plan, unsigned count = seeds()) -> Totals
 {
-    Sums sums;
+    Totals totals;
 
     for (plan.seed = 0; plan.seed < count; ++plan.seed)
     {
         const auto outcome = CrashWorld (plan).play();
-        sums.mostCrashes = std::max (sums.mostCrashes, *std::ranges::max_element (outcome.crashes));
-        sums.lateSends += outcome.lateSends;
-        sums.notStopped += outcome.notStopped;
-        sums.innocentsStopped += outcome.innocentsStopped;
-        sums.sent += static_cast<double> (outcome.othersSent);
-        sums.served += static_cast<double> (outcome.othersServed);
+        totals.maxCrashes = std::max (totals.maxCrashes, *std::ranges::max_element (outcome.crashes));
+        totals.lateSends += outcome.lateSends;
+        totals.notStopped += outcome.notStopped;
+        totals.nonFatalStopped += outcome.nonFatalStopped;
+        totals.sent += static_cast<double> (outcome.othersSent);
+        totals.served += static_cast<double> (outcome.othersServed);
     }
 
-    return sums;
+    return totals;
 }
 
 } // namespace
 
-// Two callers each repeat a request that ends its replicas. Their first repeats run on the same replicas, so that the record of
-// either one is full of crashes that it shares with the other. It kept the earliest eight and took no newer ones: the first
-// request was stopped, its eight crashes "explained" those of the second, and that one went on for good. Of a run in which 72
-// replicas ended: the second request stood at `crashes=7 verdict=suspected` to the end, beside 138 lines of `crash_evidence`
-// that named ever new replicas.
+// Guards against a table that keeps the earliest crashes of a request instead of the latest. Two fatal requests first
+// run on the same replicas, so that the evidence of each fills up with shared crashes. With only the earliest eight
+// kept, the first request was stopped, its crashes explained all those of the second, and the second was never stopped:
+// it ended 72 replicas in one run, with `crashes=7 verdict=suspected` throughout, while 138 lines of `crash_evidence`
+// named further replicas.
 
 TEST_CASE (
-    "A request that goes on to end replicas is stopped also where its first crashes were another one's too")
+    "A request that keeps crashing replicas is stopped even if it shares its first crashes with another one")
 {
     CrashTable table;
     const auto requestNamed = [] (std::string_view body) {
@@ -77,7 +77,7 @@
     auto replica = std::uint64_t { 0 };
     auto now = start;
 
-    // Two of the crashes are so close that they count once.
+    // The last two of these crashes of the second request are so close that they count once.
     for (const auto pause : { 100ms, 100ms, 100ms, 100ms, 100ms, 100ms, 100ms, 100ms })
     {
         now += pause;
@@ -98,72 +98,72 @@
     CHECK (table.assess (second, now).verdict == CrashVerdict::stopped);
 }
 
-TEST_CASE ("Each of several fatal requests at once is stopped, and nothing else", "[crash-world]")
+TEST_CASE ("Each of several concurrent fatal requests is stopped, and no other request", "[crash-world]")
 {
     CrashPlan plan;
     plan.fatalCallers = GENERATE (std::size_t { 1 }, std::size_t { 2 }, std::size_t { 5 });
     plan.replicas = GENERATE (std::size_t { 12 }, std::size_t { 204 });
     plan.isOneAccount = GENERATE (false, true);
-    const auto sums = playSeeds (plan);
+    const auto totals = runSeeds (plan);
 
     CAPTURE (plan.fatalCallers, plan.replicas, plan.isOneAccount);
-    CHECK (sums.lateSends == 0);
-    CHECK (sums.notStopped == 0);
-    CHECK (sums.innocentsStopped == 0);
-    CHECK (sums.served >= servedShare * sums.sent);
+    CHECK (totals.lateSends == 0);
+    CHECK (totals.notStopped == 0);
+    CHECK (totals.nonFatalStopped == 0);
+    CHECK (totals.served >= minServedShare * totals.sent);
 
-    CHECK (sums.mostCrashes <= mostCrashes);
+    CHECK (totals.maxCrashes <= maxCrashes);
 }
 
-TEST_CASE ("Fatal requests beside each other are stopped in fleets of any size", "[crash-world]")
+TEST_CASE ("Concurrent fatal requests are stopped in fleets of any size", "[crash-world]")
 {
     CrashPlan plan;
     plan.fatalCallers = 5;
     plan.nodes = GENERATE (std::size_t { 77 }, std::size_t { 295 });
     plan.replicas = GENERATE (std::size_t { 12 }, std::size_t { 204 });
     plan.length = 6s;
-    const auto sums = playSeeds (plan, std::min (seeds(), 3U));
+    const auto totals = runSeeds (plan, std::min (seeds(), 3U));
 
     CAPTURE (plan.nodes, plan.replicas);
-    CHECK (sums.lateSends == 0);
-    CHECK (sums.innocentsStopped == 0);
-    CHECK (sums.served >= servedShare * sums.sent);
-    CHECK (sums.mostCrashes <= mostCrashes);
+    CHECK (totals.lateSends == 0);
+    CHECK (totals.nonFatalStopped == 0);
+    CHECK (totals.served >= minServedShare * totals.sent);
+    CHECK (totals.maxCrashes <= maxCrashes);
 }
 
-TEST_CASE ("Fatal requests are stopped where the addresses of their replicas go on accepting",
+TEST_CASE ("Fatal requests are stopped while the addresses of crashed replicas still accept connections",
            "[crash-world]")
 {
     CrashPlan plan;
     plan.isAddressAccepting = true;
     plan.entryLifetime = 300ms;
     plan.fatalCallers = GENERATE (std::size_t { 2 }, std::size_t { 5 });
-    const auto sums = playSeeds (plan);
+    const auto totals = runSeeds (plan);
 
     CAPTURE (plan.fatalCallers);
-    CHECK (sums.lateSends == 0);
-    CHECK (sums.notStopped == 0);
-    CHECK (sums.innocentsStopped == 0);
-    CHECK (sums.served >= servedShare * sums.sent);
+    CHECK (totals.lateSends == 0);
+    CHECK (totals.notStopped == 0);
+    CHECK (totals.nonFatalStopped == 0);
+    CHECK (totals.served >= minServedShare * totals.sent);
 }
 
-TEST_CASE ("Five fatal requests on twelve replicas end five replicas each at most", "[crash-world]")
+TEST_CASE ("Five fatal requests on twelve replicas cause at most five crashes each", "[crash-world]")
 {
     CrashPlan plan;
     plan.fatalCallers = 5;
-    CHECK (playSeeds (plan).mostCrashes <= mostCrashes);
+    CHECK (runSeeds (plan).maxCrashes <= maxCrashes);
 }
 
-TEST_CASE ("No fatal request is sent late where proofs and messages take long", "[crash-world]")
+TEST_CASE ("No fatal request is sent late when proofs and messages are slow", "[crash-world]")
 {
     CrashPlan plan;
     plan.maxProofDelay = 1500ms;
     plan.maxMessageDelay = 400ms;
     plan.fatalCallers = GENERATE (std::size_t { 2 }, std::size_t { 5 });
-    const auto sums = playSeeds (plan);
+    const auto totals = runSeeds (plan);
 
     CAPTURE (plan.fatalCallers);
-    CHECK (sums.lateSends == 0);
-    CHECK (sums.notStopped == 0);
-    CHECK (sums.innocentsStopped == 0);
+    CHECK (totals.lateSends == 0);
+    CHECK (totals.notStopped == 0);
+    CHECK (totals.nonFatalStopped == 0);
 }
--- a/tests/unit/StaleEntryTests.cpp
+++ b/tests/unit/StaleEntryTests.cpp
@@ -12,10 +12,11 @@
 
 constexpr auto replicas = std::size_t { 12 };
 
-/** What a request that may run once meets at one router.
+/** Simulates the attempts of a non-repeatable request at one router.
 
-    @param stale  entries whose replicas are no longer there: every second address refuses, at the others another replica answers
-    @returns      whether a replica took it
+    @param stale  number of entries whose replicas no longer exist: every second address refuses connections, at the
+                  others another replica answers
+    @returns      whether a replica served the request
 */
 auto isServed (ReplicaTable& table, std::size_t stale, RetryBudget& budget, TimePoint& time) -> bool
 {
@@ -75,8 +76,9 @@
 
 } // namespace
 
-// A request that met a third stale entry was refused with 503, though a sound replica was listed.
-TEST_CASE ("Requests are served while all entries of a service but one are stale")
+// Guards against stale entries that use up a request's attempts: a request that met a third stale entry was refused
+// with 503 although a working replica was listed.
+TEST_CASE ("Requests are served when all entries of a service but one are stale")
 {
     for (auto stale = std::size_t { 1 }; stale < replicas; ++stale)
     {
