--- a/modules/snowrudder_requests/attempt/AttemptOutcome.h
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.h
@@ -6,57 +6,61 @@
 namespace snowrudder
 {
 
-/** Why an attempt on one replica came to nothing. */
+/** Why an attempt at a replica failed. */
 enum class FailureCause
 {
     /** No replica was usable. */
     noReplica,
-    /** The connection could not be made. */
+    /** The connection could not be established. */
     connectFailed,
-    /** The upstream answered that it does not run the request. */
+    /** The upstream answered that it did not run the request. */
     refused,
-    /** Another replica has the upstream's address, and ran nothing. */
+    /** Another replica answered at the address and did not run the request. */
     misdirected,
-    /** The connection ended before the answer was whole. */
+    /** The connection ended before the answer was complete. */
     cut,
     /** The upstream took longer than allowed. */
     timedOut,
-    /** The upstream's answer makes no sense. */
+    /** The upstream's answer is malformed. */
     invalid,
-    /** The upstream answered with a failure of its own. */
+    /** The upstream answered with an error. */
     failed,
-    /** The router ended it: the replica leaves, and the request goes on elsewhere. */
+    /** The router ended the attempt because the replica is leaving; the request continues on another one. */
     moved,
-    /** The router ended it: nobody wants the answer any more. */
+    /** The router ended the attempt because no caller waits for the answer any more. */
     abandoned,
-    /** The router ended it: the request's time is over. */
+    /** The router ended the attempt because the request's deadline has passed. */
     deadline,
-    /** The router did not send it: replicas end when they run the request. */
+    /** The router did not send the request because it crashes the replicas that run it. */
     stopped
 };
 
-/** One attempt that failed. */
+/** The outcome of a failed attempt: how far it came and why it failed. */
 struct AttemptOutcome
 {
     CallStage stage = CallStage::planned;
     FailureCause cause = FailureCause::connectFailed;
 };
 
-/** @returns whether a failed attempt may have run at the upstream. `no` only where that is proved: not a byte was
-    sent, or the upstream itself refused.
+/** @returns whether the upstream may have run a failed attempt. It is `no` only if that is proved: not a byte was sent,
+    the upstream refused, or another replica answered.
 */
 auto ranAfter (const AttemptOutcome& outcome) -> Ran;
 
-/** @returns whether a failed attempt met a replica that is no longer there: nothing listens at its address, or another has it. */
+/** @returns whether a failed attempt was made at a stale entry, whose replica no longer exists: nothing accepts
+    connections at its address, or another replica has the address.
+*/
 auto metStaleEntry (const AttemptOutcome& outcome) -> bool;
 
-/** @returns whether a failed attempt may have failed because its replica ended: its connection ended after the request was sent. */
+/** @returns whether an attempt may have failed because the replica crashed: the connection ended after the request was
+    sent.
+*/
 auto mayIndicateCrash (const AttemptOutcome& outcome) -> bool;
 
-/** @returns the kind of error that a caller is told when no other attempt follows. */
+/** @returns the kind of error that is returned to the caller if the attempt is not retried. */
 auto kindOf (FailureCause cause) -> ErrorKind;
 
-/** @returns one word for the log. */
+/** @returns the name of a cause as it is written to the log. */
 auto toString (FailureCause cause) -> std::string_view;
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/once/KeySlots.h
+++ b/modules/snowrudder_requests/once/KeySlots.h
@@ -8,10 +8,10 @@
 namespace snowrudder
 {
 
-/** Parts of the key space that are owned separately. */
+/** Number of slots of the key space. Each slot is owned by one router. */
 inline constexpr auto keySlotCount = std::uint32_t { 64 };
 
-/** @returns the slot of a client account's key: the same on every router. */
+/** @returns the slot of a client account's idempotency key; the same on every router. */
 inline auto slotOf (std::string_view account, const Uuid& key) -> std::uint32_t
 {
     const auto keyBytes =
@@ -19,16 +19,16 @@
     return static_cast<std::uint32_t> (hashBytes (keyBytes, hashBytes (account)) % keySlotCount);
 }
 
-/** Times of owning slots. */
+/** Durations that govern the ownership of slots. */
 struct SlotTimes
 {
-    /** A holder's lease at the platform. */
+    /** An owner's lease at the platform. */
     Duration lease = 30s;
-    /** A holder stops this long before the platform can end its lease. */
+    /** An owner stops acting this long before the platform can end its lease. */
     Duration margin = 2s;
-    /** How long a key is remembered after its own time. */
+    /** How long a key is kept after the time in its UUID. */
     std::chrono::milliseconds window = std::chrono::minutes (10);
-    /** How far a caller's wall clock may be ahead. */
+    /** How far a caller's wall clock may be ahead of a router's. */
     std::chrono::milliseconds callerSkew = std::chrono::seconds (1);
     /** How far two routers' wall clocks may be apart. */
     std::chrono::milliseconds routerSkew = std::chrono::milliseconds (250);
--- a/modules/snowrudder_requests/once/KeyTable.cpp
+++ b/modules/snowrudder_requests/once/KeyTable.cpp
@@ -67,13 +67,13 @@
     if (time < slot->second.knownSince || time < windowStart (wallNow))
         return { KeyVerdict::unknown, {} };
 
-    const auto mayAct = leaseEnd && now < *leaseEnd;
+    const auto holdsLease = leaseEnd && now < *leaseEnd;
 
-    if (! mayAct)
+    if (! holdsLease)
         return { KeyVerdict::notOwner, {} };
 
-    const auto [place, isNew] = keys.emplace (Name { call.key, call.account }, call);
-    requireInvariant (isNew, "a keyed call is started once");
+    const auto [place, isNew] = keys.emplace (TableKey { call.key, call.account }, call);
+    requireInvariant (isNew, "a keyed call starts once");
     place->second.state = KeyState::running;
     return { KeyVerdict::run, {} };
 }
@@ -117,7 +117,8 @@
 
 auto KeyTable::dropOld (WallTime wallNow) -> void
 {
-    // A little longer than the window, so that a key is never unknown to the table and young enough to run.
+    // Keys are kept a little longer than the window, so that one is never absent from the table and still new enough to
+    // run.
     const auto oldest = windowStart (wallNow) - times.callerSkew - times.routerSkew;
 
     while (! keys.empty() && timeOf (keys.begin()->first.first) < oldest)
--- a/modules/snowrudder_requests/once/KeyTable.h
+++ b/modules/snowrudder_requests/once/KeyTable.h
@@ -14,78 +14,78 @@
 
 class RequestRecord;
 
-/** How far the call of one key has come. */
+/** State of the call of one key. */
 enum class KeyState
 {
-    /** It is being made here, now. */
+    /** This router is making the call. */
     running,
-    /** It ran, and its answer was whole. */
+    /** The call ran, and its answer is complete. */
     finished,
-    /** It may have run; its answer is not known. */
+    /** The call may have run; its answer is not known. */
     mayHaveRun
 };
 
-/** One key as a slot's owner remembers it. */
+/** One key in the table of a slot's owner. */
 struct KeyEntry
 {
     std::string account;
     Uuid key;
-    /** Of method, path and body, to tell another request under the same key. */
+    /** Hash of method, path and body, to detect a different request with the same key. */
     std::uint64_t contentHash = 0;
     KeyState state = KeyState::running;
     /** The request that made the call. */
     std::string requestId;
-    /** Where the call's answer is made and kept: there from the moment at which the key is, so that a call that joins needs no
-        second look that could come too early. Nothing once the answer is no longer kept.
+    /** The record that receives and keeps the call's answer. It is set when the key is added, so that a repeat of the
+        call needs no separate lookup, which could come before the record is registered. Expired once the answer is no
+        longer kept.
     */
     std::weak_ptr<RequestRecord> record {};
 };
 
-/** What an owner does with a call. */
+/** What a slot's owner does with a keyed call. */
 enum class KeyVerdict
 {
-    /** Never seen, and nobody else can have run it: make the call. */
+    /** The key is new, and no other router can have run the call: make it. */
     run,
-    /** The same call is being made or has ended here: give its answer. */
+    /** The same call is running or has finished here: return its answer. */
     join,
-    /** It may have run before: say so. */
+    /** The call may have run before, and its answer is not known: return an error that states this. */
     unknown,
-    /** The key stands for another request. */
+    /** The key was used with a different request. */
     conflict,
     /** The key's time lies in the future. */
     tooNew,
-    /** This router does not own the slot, or can't be sure that it still does. */
+    /** This router does not own the slot, or its lease may have ended. */
     notOwner
 };
 
-/** The answer to one keyed call. */
+/** The decision about one keyed call. */
 struct KeyDecision
 {
     KeyVerdict verdict = KeyVerdict::notOwner;
-    /** The entry that decided, where there is one. */
+    /** The existing entry of the key, if there is one. */
     std::optional<KeyEntry> entry;
 };
 
-/** One slot as its owner holds it. */
+/** State of a slot at its owner. */
 struct OwnedSlot
 {
-    /** Grows with each change of owner. */
+    /** Increases with each change of owner. */
     std::uint64_t epoch = 0;
-    /** Every key with a later time is in the table if it was ever run. */
+    /** Every key with a later time is in the table if its call ever ran. */
     WallTime knownSince {};
-    /** No new call is taken: the slot is being handed over. */
+    /** Whether new calls are rejected because the slot is being handed over. */
     bool frozen = false;
 };
 
-/** The keys that this router has seen for the slots that it owns, and the one decision that keeps calls from running
-    twice:
+/** The keys of the slots that this router owns. Its decisions ensure that no keyed call runs twice:
 
-    - A key later than `knownSince` that is not in the table never ran: only an owner runs keyed calls, and an owner's
-      table is complete from there on.
-    - A key before `knownSince`, or older than the window, may have run under an owner whose table is gone.
-    - An owner whose lease may have lapsed runs nothing.
+    - The call of a key later than `knownSince` that is not in the table never ran: only an owner runs keyed calls, and
+      its table is complete from that time on.
+    - The call of a key before `knownSince`, or older than the window, may have run at an owner whose table is lost.
+    - An owner whose lease may have ended runs no call.
 
-    No input or output and no clock. The caller keeps the lock.
+    Does no I/O and reads no clock. Not thread-safe; callers hold a lock.
 */
 class KeyTable
 {
@@ -93,37 +93,43 @@
     KeyTable() = default;
     explicit KeyTable (const SlotTimes& slotTimes) : times (slotTimes) {}
 
-    /** Takes a slot whose last owner has stopped. That owner took no key ahead of its clock by more than the callers'
-        skew, and its clock was not ahead of ours by more than the routers': what is later than both is new. A slot of
-        the first epoch had no owner before.
+    /** Takes over a slot whose last owner has stopped without handing over its table. That owner accepted no key
+        further ahead of its clock than `callerSkew`, and its clock was at most `routerSkew` ahead of this one: a key
+        later than both is new. A slot in its first epoch had no owner before.
 
         @param takenAt  wall time at the takeover or later
     */
     auto takeOver (std::uint32_t slot, std::uint64_t epoch, WallTime takenAt) -> void;
 
-    /** Takes a slot with the table that its last owner handed over. */
+    /** Takes over a slot with the entries that its last owner handed over. */
     auto inherit (std::uint32_t slot,
                   std::uint64_t epoch,
                   WallTime knownSince,
                   const std::vector<KeyEntry>& entries) -> void;
 
-    /** Stops taking calls for a slot that is to be handed over, or takes them again. */
+    /** Stops or resumes accepting new calls for a slot that is to be handed over. */
     auto setFrozen (std::uint32_t slot, bool frozen) -> void;
 
-    /** Gives a slot up. Its keys stay known for answers that are asked for again. */
+    /** Releases a slot. Its keys stay in the table, so that repeats of their calls still get the answers. */
     auto releaseSlot (std::uint32_t slot) -> void;
 
-    /** Decides about a call, and remembers its key where the verdict is `run`.
+    /** Decides what to do with a call, and adds its key if the verdict is `run`.
 
-        @param leaseEnd  until when this router may act as owner, by its own clock
+        @param leaseEnd  until when this router may act as owner, by its steady clock; nothing if it holds no lease
     */
     auto decide (const KeyEntry& call, TimePoint now, WallTime wallNow, std::optional<TimePoint> leaseEnd)
         -> KeyDecision;
 
-    /** Notes how a call ended. One that is proved not to have run is forgotten, so that it may run yet. */
+    /** Records the end of a call. The key of a call that is proved not to have run is removed, so that the call can be
+        made again.
+
+        @param answered  whether the answer is complete
+    */
     auto recordEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void;
 
-    /** @returns the keys of a slot, to hand over. A call still running may have run for all that the heir can know. */
+    /** @returns the entries of a slot, to hand them over. The new owner has to assume that a call still running here
+        may have run.
+    */
     [[nodiscard]] auto entriesOf (std::uint32_t slot) const -> std::vector<KeyEntry>;
 
     [[nodiscard]] auto runningIn (std::uint32_t slot) const -> std::size_t;
@@ -131,18 +137,18 @@
     [[nodiscard]] auto owns (std::uint32_t slot) const -> bool { return slots.contains (slot); }
     [[nodiscard]] auto size() const -> std::size_t { return keys.size(); }
 
-    /** Forgets the keys whose window is over. */
+    /** Removes the keys whose window has passed. */
     auto dropOld (WallTime wallNow) -> void;
 
 private:
-    /** Ordered by the key first, that is by its time: old keys stand in front. */
-    using Name = std::pair<Uuid, std::string>;
+    /** Ordered by the key first and therefore by time: the oldest keys come first. */
+    using TableKey = std::pair<Uuid, std::string>;
 
     [[nodiscard]] auto windowStart (WallTime wallNow) const -> WallTime { return wallNow - times.window; }
 
     SlotTimes times;
     std::map<std::uint32_t, OwnedSlot> slots;
-    std::map<Name, KeyEntry> keys;
+    std::map<TableKey, KeyEntry> keys;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/record/RequestRecord.cpp
+++ b/modules/snowrudder_requests/record/RequestRecord.cpp
@@ -6,8 +6,9 @@
 {
 
 RequestRecord::RequestRecord (RequestIdentity requestIdentity)
-    : about (std::move (requestIdentity)),
-      writer (AnswerHead { toString (about.id), about.model, about.created }), unreadSince (about.accepted)
+    : requestInfo (std::move (requestIdentity)),
+      writer (AnswerHead { toString (requestInfo.id), requestInfo.model, requestInfo.created }),
+      unreadSince (requestInfo.accepted)
 {
 }
 
@@ -18,7 +19,7 @@
     if (currentState == RecordState::handedOver)
         return;
 
-    requireInvariant (currentState == RecordState::open, "an answer that has ended gets nothing more");
+    requireInvariant (currentState == RecordState::open, "nothing is appended to an answer that has ended");
 
     if (! chunk.other.empty())
         answer.appendChoice (chunk.other);
@@ -83,15 +84,15 @@
 
     if (currentState == RecordState::failed)
     {
-        ChatWriter::appendProblem (target, problemBody (failure, toString (about.id)));
+        ChatWriter::appendProblem (target, problemBody (failure, toString (requestInfo.id)));
         return part;
     }
 
-    // Behind the last piece come the reason, the usage figures where asked for, and the end.
+    // The last piece is followed by the finish reason, the usage figures if requested, and the end marker.
     if (part.lastEvent == eventCount)
         writer.appendFinish (target, ++part.lastEvent, finishReason);
 
-    if (part.lastEvent == eventCount + 1 && about.includeUsage)
+    if (part.lastEvent == eventCount + 1 && requestInfo.includeUsage)
         writer.appendUsage (target, ++part.lastEvent, counts);
 
     ChatWriter::appendDone (target);
@@ -189,8 +190,8 @@
 {
     const std::lock_guard lock (mutex);
 
-    // A caller that wants the whole answer reads nothing until its end.
-    return about.stream && ! readers.empty() && answer.eventCount() > furthestRead + maxEventsAhead;
+    // A caller that did not request a stream reads nothing until the answer is complete.
+    return requestInfo.stream && ! readers.empty() && answer.eventCount() > furthestRead + maxEventsAhead;
 }
 
 auto RequestRecord::abandonedSince() const -> std::optional<TimePoint>
@@ -246,9 +247,9 @@
     if (! request || (currentState != RecordState::open && ! isUnread))
         return {};
 
-    HandoverState handed { about, boost::json::serialize (request->body), answer, counts, tokensSoFar };
+    HandoverState handed { requestInfo, boost::json::serialize (request->body), answer, counts, tokensSoFar };
 
-    // A whole answer can still be read here; its caller may come when this router is gone.
+    // A complete answer can still be read here, but its caller may ask for it only after this router has stopped.
     if (isUnread)
     {
         handed.finishReason = finishReason;
@@ -267,8 +268,8 @@
 
 auto RequestRecord::finalEventNumber() const -> std::size_t
 {
-    // Behind the last piece come the reason, and the usage figures where asked for.
-    return answer.eventCount() + (about.includeUsage ? 2 : 1);
+    // The last piece is followed by the finish reason, and by the usage figures if requested.
+    return answer.eventCount() + (requestInfo.includeUsage ? 2 : 1);
 }
 
 auto RequestRecord::canEnd() const -> bool
--- a/modules/snowrudder_requests/record/RequestRecord.h
+++ b/modules/snowrudder_requests/record/RequestRecord.h
@@ -18,24 +18,25 @@
 namespace snowrudder
 {
 
-/** What is known of a request when it is accepted, and never changes. */
+/** The properties of a request that are known when it is accepted and never change. */
 struct RequestIdentity
 {
     RequestId id;
     std::string account;
     std::string service;
     std::string model;
-    /** Whether the caller asked for a stream. */
+    /** Whether the caller requested a stream. */
     bool stream = false;
+    /** Whether the caller requested usage figures at the end of the stream. */
     bool includeUsage = false;
     TimePoint accepted {};
     TimePoint deadline {};
     std::chrono::sys_seconds created {};
-    /** Hash of method, path and body, to tell a repeated key's request from another. */
+    /** Hash of method, path and body, to detect a different request with the same key. */
     std::uint64_t contentHash = 0;
 };
 
-/** A plain service's answer, kept whole. */
+/** The complete answer of a plain service. */
 struct KeptAnswer
 {
     unsigned status = 0;
@@ -43,88 +44,92 @@
     std::string body;
 };
 
-/** How far a record has come. */
+/** State of a record. */
 enum class RecordState
 {
     open,
     finished,
     failed,
-    /** Another router goes on with it: callers find it there by its identifier. */
+    /** Another router continues the request; callers find it there by its identifier. */
     handedOver
 };
 
-/** What another router needs to go on with a model request. */
+/** The state that another router needs to continue a model request. */
 struct HandoverState
 {
     RequestIdentity identity;
-    /** As the caller sent it. */
+    /** The request body as the caller sent it. */
     std::string body;
     StreamedAnswer answer;
-    /** Counts of the first attempt, and the answer's tokens so far; of a whole answer, its counts. */
+    /** Usage counts of the first attempt, or of the whole answer if it is complete. */
     Usage usage;
+    /** Tokens of the answer so far. */
     std::uint32_t answerTokens = 0;
-    /** Why the answer ended, as the engine states it; set where it is whole and its caller may lack a part of it. */
+    /** The engine's finish reason; set if the answer is complete and its caller may not have received all of it. */
     std::optional<std::string> finishReason {};
 };
 
-/** One accepted request: who asked, and its answer as far as it is made. One run writes it; the caller's connection
-    and any that resume read it, on whichever thread they are. A mutex guards each record; it is the last lock
-    taken, and no other is taken while it is held.
+/** An accepted request and the part of its answer received so far. One run writes it; the caller's connection and those
+    that resume the answer read it. Thread-safe: a mutex guards each record. No other lock is taken while it is held.
 */
 class RequestRecord
 {
 public:
     explicit RequestRecord (RequestIdentity requestIdentity);
 
-    /** Takes over the part of an answer that another router made. */
+    /** Sets the part of the answer that another router received before the handover. */
     auto restore (const StreamedAnswer& begun) -> void;
 
-    /** Keeps the caller's request at hand, to hand it over. */
+    /** Keeps the caller's request for a handover. */
     auto keepRequest (std::shared_ptr<const ChatRequest> chatRequest) -> void;
 
-    /** Notes the counts so far, to hand them over. */
+    /** Updates the usage counts that a handover includes.
+
+        @param first         counts of the first attempt
+        @param answerTokens  tokens of the answer so far
+    */
     auto updateUsage (const Usage& first, std::uint32_t answerTokens) -> void;
 
-    /** Gives out what another router needs to go on, and ends the record here where it is open.
+    /** Returns the state that another router needs to continue, and closes the record here if it is open.
 
-        @returns nothing where no caller can lack anything, or where it is no model request
+        @returns nothing if all of the answer has been read, or if this is not a model request
     */
     auto takeForHandover() -> std::optional<HandoverState>;
 
-    [[nodiscard]] auto identity() const -> const RequestIdentity& { return about; }
+    [[nodiscard]] auto identity() const -> const RequestIdentity& { return requestInfo; }
 
     //==================================================================================================================
-    /** Adds what one chunk of an engine brought. Nothing can be added to a record that has ended; what still comes for
-        one that was handed over is dropped.
+    /** Appends the content of a chunk from an engine. Chunks for a record that was handed over are dropped; appending
+        to one that has ended otherwise is an error.
     */
     auto append (const ChatChunk& chunk) -> void;
 
-    /** Ends the answer.
+    /** Ends the answer of a model request.
 
-        @param reason  as the engine states it
+        @param reason  the engine's finish reason
     */
     auto finish (std::string reason, const Usage& usage) -> void;
 
-    /** Ends a plain service's call with its answer. */
+    /** Ends a call of a plain service with its answer. */
     auto finish (KeptAnswer answer) -> void;
 
     /** Ends the request with a failure. */
     auto fail (Problem problem) -> void;
 
     //==================================================================================================================
-    /** What a reader gets in one go. */
+    /** Result of one read. */
     struct Part
     {
         RecordState state = RecordState::open;
-        /** The last event that the reader has now. */
+        /** Number of the last event that the reader has received. */
         std::size_t lastEvent = 0;
-        /** Whether the stream's end was written too. */
+        /** Whether the end of the stream was written. */
         bool ended = false;
     };
 
-    /** Appends what a streaming caller lacks.
+    /** Appends the events that a streaming caller has not received to `target`, about `partBytes` at most.
 
-        @param after  the last event that it has
+        @param after  number of the last event that the caller has received
     */
     auto readStream (std::size_t after, std::string& target) const -> Part;
 
@@ -133,64 +138,69 @@
     /** @returns the whole answer of a finished model request. */
     [[nodiscard]] auto wholeAnswer() const -> std::string;
 
-    /** @returns the kept answer of a finished plain call. */
+    /** @returns the answer of a finished call of a plain service. */
     [[nodiscard]] auto keptAnswer() const -> std::optional<KeptAnswer>;
 
-    /** @returns why a failed request failed. */
+    /** @returns the error of a failed request. */
     [[nodiscard]] auto problem() const -> Problem;
 
+    /** @returns the usage counts so far. */
     [[nodiscard]] auto usage() const -> Usage;
 
-    /** @returns the text so far. */
+    /** @returns the text of the answer so far. */
     [[nodiscard]] auto text() const -> std::string;
 
     [[nodiscard]] auto eventCount() const -> std::size_t;
+    /** @returns the memory that the record takes, in bytes. */
     [[nodiscard]] auto bytes() const -> std::size_t;
 
     //==================================================================================================================
-    /** Adds a reader; the signal is notified at each change. */
+    /** Adds a reader. Its signal is notified of each change. */
     auto addReader (const std::shared_ptr<Signal>& signal) -> void;
     auto removeReader (const std::shared_ptr<Signal>& signal, TimePoint now) -> void;
 
-    /** Notes how far the readers are: lets a run that waits for room go on. */
+    /** Updates the furthest event that a reader has received, and resumes a run that waits because it is too far ahead.
+    */
     auto updateReadPosition (std::size_t lastEvent) -> void;
 
-    /** Notes that a caller has the whole answer. */
+    /** Records that a caller has received the complete answer. */
     auto markReadToEnd() -> void;
 
-    /** @returns whether the run is far ahead of its readers and should wait. */
+    /** @returns whether the run is more than `maxEventsAhead` ahead of its readers and should wait. */
     [[nodiscard]] auto isAhead() const -> bool;
 
-    /** @returns since when nobody reads, or nothing while somebody does. */
+    /** @returns since when the record has had no reader, or nothing while it has one. */
     [[nodiscard]] auto abandonedSince() const -> std::optional<TimePoint>;
 
     //==================================================================================================================
-    /** Sets what ends the attempt in progress, from any thread. */
+    /** Sets the function that ends the attempt in progress. It may be called on any thread. */
     auto setInterrupt (std::function<void (FailureCause)> function) -> void;
 
     /** Ends the attempt in progress, if there is one. */
     auto interrupt (FailureCause cause) -> void;
 
-    /** The number of the replica that works on it, or 0; any thread may read it. */
+    /** Number of the replica that runs the request, or 0. Any thread may read it. */
     std::atomic<std::uint32_t> currentReplica { 0 };
 
-    /** The signal by which a run that waits for room is woken. */
+    /** Sets the signal that wakes a run which waits because it is too far ahead. */
     auto setRunSignal (std::shared_ptr<Signal> signal) -> void;
 
 private:
-    /** Events that a run may be ahead of the furthest reader. */
+    /** Number of events that a run may be ahead of the furthest reader. */
     static constexpr auto maxEventsAhead = std::size_t { 512 };
+    /** Number of bytes after which a read stops. */
     static constexpr auto partBytes = std::size_t { 32 * 1024 };
 
     auto notifyReaders() -> void;
 
-    /** @returns the number of the last event of a stream that is whole. */
+    /** @returns the number of the last event of a complete stream. */
     [[nodiscard]] auto finalEventNumber() const -> std::size_t;
 
-    /** @returns whether the record can be ended here, and checks that it has not ended before. */
+    /** @returns whether the record can be ended here: false if it was handed over. Checks that it has not ended before.
+    */
     [[nodiscard]] auto canEnd() const -> bool;
 
-    const RequestIdentity about;
+    const RequestIdentity requestInfo;
     const ChatWriter writer;
 
     mutable std::mutex mutex;
--- a/modules/snowrudder_requests/record/RequestTable.h
+++ b/modules/snowrudder_requests/record/RequestTable.h
@@ -15,8 +15,8 @@
 namespace snowrudder
 {
 
-/** All records of one router, by request identifier, and by idempotency key where the caller gave one. Any thread
-    may call it. Lock order: the table's mutex, then a record's.
+/** All records of a router, by request identifier, and by idempotency key if the caller sent one. Thread-safe. Lock
+    order: the table's mutex, then a record's.
 */
 class RequestTable
 {
@@ -24,35 +24,39 @@
     using RecordPointer = std::shared_ptr<RequestRecord>;
 
     /** @param keepTime   how long a finished answer is kept
-        @param keepBytes  most bytes of finished answers kept
+        @param keepBytes  limit for the memory of finished answers, in bytes
     */
     RequestTable (Duration keepTime, std::size_t keepBytes) : keepFor (keepTime), mostKeptBytes (keepBytes) {}
 
     /** Adds an accepted request.
 
-        @param key  empty, or the caller's idempotency key
-        @returns    the record of an earlier request with the same client account and key, or nullptr when this one
-                    was added
+        @param key  the caller's idempotency key, or empty
+        @returns    the record of an earlier request with the same client account and key, or nullptr if this one was
+                    added
     */
     auto add (const RecordPointer& record, std::string_view key) -> RecordPointer;
 
-    /** Adds a request that another router handed over, unless it is here already: it may be handed over twice, also by two
-        routers at once. Whether it is here and its addition are one step, since an identifier that is added twice ends the process.
+    /** Adds a request that another router handed over, unless it is in the table already: it may be handed over twice,
+        even by two routers at the same time. The check and the addition are one atomic step, since adding an identifier
+        twice ends the process.
 
-        @returns the record that stands under the identifier: this one, or the earlier one
+        @returns the record with the identifier: this one or the earlier one
     */
     auto addHandedOver (const RecordPointer& record) -> RecordPointer;
 
-    /** @returns the record of an identifier, or nullptr; another client account's is not found either. */
+    /** @returns the record with an identifier, or nullptr if there is none or if it belongs to another client account.
+    */
     [[nodiscard]] auto find (const std::string& id, std::string_view account) const -> RecordPointer;
 
-    /** Notes that a record has ended: it is kept for the stated time from now. */
+    /** Marks a record as ended. It is kept for `keepTime` from now, or until the byte limit requires that it be
+        dropped.
+    */
     auto markEnded (const RecordPointer& record, TimePoint now) -> void;
 
-    /** Drops what was kept long enough, and the oldest beyond the byte limit. */
+    /** Drops ended records whose time has passed. */
     auto dropOld (TimePoint now) -> void;
 
-    /** @returns all records, those that have ended and are kept included. */
+    /** @returns all records, including ended ones that are still kept. */
     [[nodiscard]] auto all() const -> std::vector<RecordPointer>;
 
     /** @returns the records that have not ended. */
--- a/modules/snowrudder_requests/record/StreamedAnswer.h
+++ b/modules/snowrudder_requests/record/StreamedAnswer.h
@@ -11,51 +11,53 @@
 namespace snowrudder
 {
 
-/** The part of a model's answer made so far: text with the ends of its events, kept compactly so that thousands of
-    open streams fit a small VM. Events are numbered from 1.
+/** The part of a model's answer received so far: its text and where each event ends in it. The compact form lets
+    thousands of open streams fit into a small VM. Events are numbered from 1.
 */
 class StreamedAnswer
 {
 public:
+    /** Appends an event that holds only text. */
     auto appendText (std::string_view piece) -> void;
 
-    /** Adds an event that holds more than text, as the choice's JSON. */
+    /** Appends an event that holds more than text, as the JSON of its choice. */
     auto appendChoice (std::string choice) -> void;
 
     [[nodiscard]] auto eventCount() const -> std::size_t { return events.size(); }
     [[nodiscard]] auto text() const -> const std::string& { return allText; }
     [[nodiscard]] auto choices() const -> const std::vector<std::string>& { return allChoices; }
 
-    /** Appends events behind a number to a caller's stream.
+    /** Appends the events after a given one to a caller's stream.
 
-        @param after  the last event that the caller has
-        @param most   stops once this many bytes were added
-        @returns      the last event added, or `after`
+        @param after  number of the last event that the caller has received
+        @param most   stops once this many bytes have been appended
+        @returns      number of the last event appended, or `after`
     */
     auto write (const ChatWriter& writer, std::size_t after, std::size_t most, std::string& target) const
         -> std::size_t;
 
-    /** @returns the events as numbers, to hand over: twice the end of an event's text, or twice the place of its choice
-        plus one.
+    /** @returns the events as numbers, for a handover: twice the offset at which an event's text ends, or twice the
+        index of its choice plus one.
     */
     [[nodiscard]] auto eventCodes() const -> std::vector<std::uint32_t>;
 
-    /** @returns an answer as eventCodes() and its parts tell it, or nothing when they contradict each other. */
+    /** @returns the answer that eventCodes() and its parts describe, or nothing if they are inconsistent. */
     static auto restore (std::string text,
                          const std::vector<std::uint32_t>& codes,
                          std::vector<std::string> choices) -> std::optional<StreamedAnswer>;
 
+    /** @returns the memory that the answer takes, in bytes. */
     [[nodiscard]] auto bytes() const -> std::size_t;
 
 private:
     struct Event
     {
-        /** Where the event's text ends, or which choice it is. */
+        /** Offset at which the event's text ends, or index of its choice. */
         std::uint32_t value = 0;
         bool isChoice = false;
     };
 
-    /** @returns where the text of an event begins. */
+    /** @returns the offset at which the text of an event begins. */
     [[nodiscard]] auto textBegin (std::size_t index) const -> std::size_t;
 
     std::string allText;
--- a/modules/snowrudder_requests/retry/AttemptCount.h
+++ b/modules/snowrudder_requests/retry/AttemptCount.h
@@ -8,18 +8,18 @@
 namespace snowrudder
 {
 
-/** Attempts of one request by what became of them. */
+/** Numbers of failed attempts of one request, by outcome. */
 struct AttemptCount
 {
-    /** That may have run. */
+    /** Attempts that may have run. */
     std::uint32_t mayHaveRun = 0;
-    /** That a replica declined, or for which no replica was usable. */
+    /** Attempts that a replica declined, or for which no replica was usable. */
     std::uint32_t declined = 0;
-    /** Whose replica was no longer there. */
+    /** Attempts whose replica no longer existed. */
     std::uint32_t staleEntries = 0;
 };
 
-/** Notes an attempt that failed. */
+/** Counts a failed attempt. */
 inline auto recordFailure (AttemptCount& count, const AttemptOutcome& outcome) -> void
 {
     if (metStaleEntry (outcome))
@@ -30,10 +30,11 @@
         ++count.mayHaveRun;
 }
 
-/** @returns how many attempts count against a request's number of them, at least one. Those that met nobody don't: each takes a
-    stale entry out of the choice, so that all of a service's entries may be stale but one.
+/** @returns the number of attempts that count against a request's limit, at least 1. Attempts at stale entries don't
+    count: each excludes its entry from the next choice, so that a request is served even if all entries of a service
+    but one are stale.
 
-    @param freeDeclines  declined attempts that don't count either
+    @param freeDeclines  number of declined attempts that don't count either
 */
 inline auto countedAttempts (const AttemptCount& count, std::uint32_t freeDeclines) -> std::uint32_t
 {
--- a/modules/snowrudder_requests/retry/RetryBudget.h
+++ b/modules/snowrudder_requests/retry/RetryBudget.h
@@ -10,27 +10,31 @@
 namespace snowrudder
 {
 
-/** Retries that requests have earned: each request adds a share of one, each retry takes one. */
+/** Retry budget: each request adds a fraction of a retry, each retry takes a whole one. */
 struct RetryBudget
 {
+    /** Retries available. */
     double left = 1.0;
 };
 
-/** Most retries saved up, where nothing else is set. */
+/** Default limit of accumulated retries. */
 inline constexpr auto defaultMaxSavedRetries = 10.0;
 
-/** Adds a request's share.
+/** Adds the share of one request.
 
-    @param percent    retries allowed for each 100 requests
-    @param maxSaved  retries that can be saved up
+    @param percent   retries allowed per 100 requests
+    @param maxSaved  limit of accumulated retries
 */
 inline auto earnRetry (RetryBudget& budget, double percent, double maxSaved = defaultMaxSavedRetries) -> void
 {
-    constexpr auto whole = 100.0;
-    budget.left = std::min (maxSaved, budget.left + percent / whole);
+    constexpr auto percentBase = 100.0;
+    budget.left = std::min (maxSaved, budget.left + percent / percentBase);
 }
 
-/** Takes a retry if one is there. */
+/** Takes a retry if one is available.
+
+    @returns whether one was taken
+*/
 inline auto takeRetry (RetryBudget& budget) -> bool
 {
     if (budget.left < 1.0)
@@ -40,12 +44,12 @@
     return true;
 }
 
-/** The budgets of all client accounts and services. Any thread may call it; one mutex guards it. */
+/** The retry budgets of all client accounts and services. Thread-safe; one mutex guards it. */
 class RetryBudgets
 {
 public:
-    /** Sets how many retries can be saved up for an account and service. As many are there from the first setting on: when a node has
-        just started, others may have as well, and more than usual fails.
+    /** Sets the limit of accumulated retries for each account and service. The first call fills the budgets up to the
+        limit: when a node has just started, other nodes may have started too, and more attempts fail than usual.
     */
     auto setMaxSaved (double maxSaved) -> void
     {
@@ -59,19 +63,24 @@
         saved = maxSaved;
     }
 
+    /** Adds the share of one request; see earnRetry(). */
     auto earn (const std::string& account, const std::string& service, double percent) -> void
     {
         const std::lock_guard lock (mutex);
         earnRetry (budgetOf (account, service), percent, saved);
     }
 
+    /** Takes a retry if one is available.
+
+        @returns whether one was taken
+    */
     auto take (const std::string& account, const std::string& service) -> bool
     {
         const std::lock_guard lock (mutex);
         return takeRetry (budgetOf (account, service));
     }
 
-    /** Gives a retry back that was taken and not needed. */
+    /** Returns a retry that was taken and not used. */
     auto giveBack (const std::string& account, const std::string& service) -> void
     {
         const std::lock_guard lock (mutex);
@@ -87,7 +96,7 @@
     }
 
     std::mutex mutex;
-    /** Whether setMaxSaved() was called: before, a node does not know its part. */
+    /** Whether setMaxSaved() was called: until then the node does not know its share of the fleet's retries. */
     bool isSet = false;
     double saved = defaultMaxSavedRetries;
     std::map<std::string, RetryBudget> budgets;
--- a/modules/snowrudder_requests/retry/RetryDecision.cpp
+++ b/modules/snowrudder_requests/retry/RetryDecision.cpp
@@ -11,7 +11,10 @@
 constexpr auto initialBackoff = 20ms;
 constexpr auto maxBackoff = 1s;
 
-/** Full jitter: anything from nothing to the doubled pause. */
+/** @returns an exponential back-off with full jitter: between zero and the doubled pause, which is capped.
+
+    @param jitter  0 to 1
+*/
 auto backoffAfter (std::uint32_t attempts, double jitter) -> Duration
 {
     const auto doublings = std::min (attempts - 1, 10U);
@@ -45,7 +48,7 @@
 
     const auto pause =
         metStaleEntry (outcome) ? Duration::zero() : backoffAfter (input.attempts, input.jitter);
-    // An attempt that no replica has seen adds nothing to their work.
+    // An attempt that did not reach a replica adds no load and needs no budget.
     const auto takesBudget = ! input.answerBegun && outcome.stage != CallStage::planned;
 
     if (input.attempts >= input.mostAttempts || now + pause >= input.deadline ||
--- a/modules/snowrudder_requests/retry/RetryDecision.h
+++ b/modules/snowrudder_requests/retry/RetryDecision.h
@@ -9,47 +9,48 @@
 namespace snowrudder
 {
 
-/** Most attempts for one request, where its route or service does not say. */
+/** Most attempts for one request if its route or service sets no limit. */
 inline constexpr auto defaultMaxAttempts = std::uint32_t { 4 };
 
-/** What the decision needs to know of a request. */
+/** The state of a request on which the decision depends. */
 struct RetryInput
 {
     /** Whether the request may run more than once. */
     bool repeatable = false;
     /** Whether an earlier attempt may have run. */
     bool mayHaveRun = false;
-    /** Whether the caller has a part of the answer already. */
+    /** Whether the caller has received a part of the answer. */
     bool answerBegun = false;
-    /** Attempts that count, the failed one included: countedAttempts(). Moves don't. */
+    /** Attempts that count, including the failed one; see countedAttempts(). Attempts ended by a move don't count. */
     std::uint32_t attempts = 1;
     /** Most attempts for the request. */
     std::uint32_t mostAttempts = defaultMaxAttempts;
-    /** Whether the retry budget has something left. */
+    /** Whether the retry budget has a retry available. */
     bool budgetLeft = true;
     TimePoint deadline {};
-    /** A random number from 0 to 1, for the pause. */
+    /** A random number from 0 to 1 that scales the pause. */
     double jitter = 0.5;
 };
 
-/** What follows a failed attempt. */
+/** Whether a failed attempt is retried, and how. */
 struct RetryDecision
 {
     bool shouldRetry = false;
-    /** Before the next attempt. */
+    /** Time to wait before the next attempt. */
     Duration pause {};
-    /** Whether the next attempt is taken from the retry budget. */
+    /** Whether the next attempt takes a retry from the budget. */
     bool takesBudget = false;
-    /** What the caller is told, where no attempt follows. */
+    /** The error that is returned to the caller if there is no retry. */
     ErrorKind kind = ErrorKind::upstreamFailed;
+    /** Whether the request ran, as far as the attempts prove it; returned to the caller with the error. */
     Ran ran = Ran::unknown;
 };
 
-/** Decides what follows a failed attempt.
+/** Decides whether a failed attempt is retried.
 
-    A request that may not repeat gets another attempt only when every attempt so far is proved not to have run. A
-    repeatable one gets another within its budget, with a full-jitter pause. An answer that the caller has begun to
-    read goes on without the budget: it was accepted, and its attempts are bounded.
+    A request that is not repeatable is retried only if every attempt so far is proved not to have run. A repeatable one
+    is retried within its budget, after a back-off with full jitter. Once the caller has received a part of the answer,
+    retries don't need the budget: the request was accepted, and its number of attempts is bounded.
 */
 auto decideAfterFailure (const AttemptOutcome& outcome, const RetryInput& input, TimePoint now)
     -> RetryDecision;
--- a/modules/snowrudder_requests/snowrudder_requests.h
+++ b/modules/snowrudder_requests/snowrudder_requests.h
@@ -1,14 +1,14 @@
 /** @file
-    snowrudder_requests: accepted requests, from acceptance to the end of their answers' keeping.
+    snowrudder_requests: accepted requests, from acceptance until their answers are dropped.
 
-    - attempt/  what an attempt's failure proves about whether the request ran
-    - crashes/  requests that end the replicas that run them: evidence, its bounds, the verdict
-    - retry/    whether a failed attempt is followed by another, and the budgets of that
-    - once/     who may run a keyed call: slots of the key space, their owners' tables, leases
-    - record/   the part of an answer made so far, kept for resuming; the table of all records
+    - attempt/  failed attempts, and whether they prove that the request did not run
+    - crashes/  requests that crash the replicas that run them: evidence, its bounds, the verdict
+    - retry/    whether a failed attempt is retried, and the retry budgets
+    - once/     which router may run a keyed call: slots of the key space, their owners' tables, leases
+    - record/   the part of an answer received so far, kept for resuming; the table of all records
 
-    Decisions are free functions that read no clock. Depends on: snowrudder_core, snowrudder_chat, and the stages of
-    a call from snowrudder_net.
+    Decisions are free functions that read no clock. Depends on snowrudder_core, snowrudder_chat, and the stages of a call in
+    snowrudder_net.
 */
 #pragma once
 
--- a/tests/unit/RequestTests.cpp
+++ b/tests/unit/RequestTests.cpp
@@ -25,7 +25,7 @@
     return { "account", makeUuid (time), content, KeyState::running, "r.1" };
 }
 
-/** A table that owns every slot since a wall time. */
+/** @returns a table that owns every slot and is complete from a wall time on. */
 auto owningTable (WallTime knownSince) -> KeyTable
 {
     KeyTable table;
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE ("an answer that is whole is handed over until a caller has read it to the end")
+TEST_CASE ("a complete answer is handed over until a caller has read it to the end")
 {
     RequestIdentity identity;
     identity.stream = true;
@@ -65,7 +65,7 @@
     CHECK_FALSE (record.takeForHandover());
 }
 
-TEST_CASE ("an answer that goes on is handed over once, and ends here")
+TEST_CASE ("an incomplete answer is handed over once, and its record is closed here")
 {
     RequestRecord record ({});
     record.keepRequest (std::make_shared<const ChatRequest>());
@@ -76,7 +76,7 @@
     CHECK_FALSE (record.takeForHandover());
 }
 
-TEST_CASE ("only what was not sent or was refused is proved not to have run")
+TEST_CASE ("only attempts that were not sent or were refused are proved not to have run")
 {
     CHECK (ranAfter ({ CallStage::planned, FailureCause::connectFailed }) == Ran::no);
     CHECK (ranAfter ({ CallStage::answering, FailureCause::refused }) == Ran::no);
@@ -87,7 +87,7 @@
             CHECK (ranAfter ({ stage, cause }) == Ran::unknown);
 }
 
-TEST_CASE ("what may have run and may not repeat is not tried again")
+TEST_CASE ("a non-repeatable request that may have run is not retried")
 {
     const auto decision = decideAfterFailure ({ CallStage::sent, FailureCause::cut }, inputAt (false), now);
     CHECK_FALSE (decision.shouldRetry);
@@ -100,7 +100,7 @@
     CHECK (refused.ran == Ran::unknown);
 }
 
-TEST_CASE ("what was not run is tried again, within attempts, budget and deadline")
+TEST_CASE ("a request that did not run is retried within its attempts, budget and deadline")
 {
     const AttemptOutcome refused { CallStage::answering, FailureCause::refused };
     CHECK (decideAfterFailure (refused, inputAt (false), now).shouldRetry);
@@ -124,7 +124,7 @@
     CHECK (decision.ran == Ran::no);
 }
 
-TEST_CASE ("attempts that met nobody leave a request's number of attempts and the budget untouched")
+TEST_CASE ("attempts at stale entries don't count against the limit, and refused connections need no budget")
 {
     const AttemptOutcome refusedConnection { CallStage::planned, FailureCause::connectFailed };
     const AttemptOutcome misdirected { CallStage::answering, FailureCause::misdirected };
@@ -150,13 +150,13 @@
     CHECK (decision.shouldRetry);
     CHECK_FALSE (decision.takesBudget);
     CHECK (decision.pause == Duration::zero());
-    // A replica did see this one.
+    // A replica received this attempt, so that a retry needs the budget.
     CHECK_FALSE (decideAfterFailure (misdirected, input, now).shouldRetry);
     input.budgetLeft = true;
     CHECK (decideAfterFailure (misdirected, input, now).takesBudget);
 }
 
-TEST_CASE ("retries are a share of requests")
+TEST_CASE ("retries are limited to a share of the requests")
 {
     RetryBudget budget;
     CHECK (takeRetry (budget));
@@ -168,9 +168,10 @@
     CHECK (budget.left == Approx (1.0));
 }
 
-// A node that had just started, and any node after a few requests, had a single retry: callers got an unproved version's failure
-// (`upstream_failed sends=1`) while a sound version was in service.
-TEST_CASE ("what an unproved version fails is always run again where its retry is taken before")
+// Guards against a budget too small for requests that a version on trial fails: a node that had just started or had
+// received few requests had a single retry, and callers got the failure (`upstream_failed sends=1`) although a working
+// version was in service.
+TEST_CASE ("requests that fail on a version on trial are always retried if the retry is taken beforehand")
 {
     const auto account = std::string();
     const auto service = std::string ("model");
@@ -201,11 +202,11 @@
     }
 
     CHECK (withoutReserve > 50);
-    // The version is still seen by nearly all of its share.
+    // The version on trial still receives most of its share of the requests.
     CHECK (runByTrial > 0.75 * exposed * requests);
 }
 
-TEST_CASE ("a node begins with the retries that it may save up, once it knows its part")
+TEST_CASE ("a node starts with the full retry budget once it knows its share")
 {
     RetryBudgets budgets;
     CHECK (budgets.take ("a", "s"));
@@ -215,7 +216,7 @@
     CHECK (budgets.take ("a", "s"));
     CHECK_FALSE (budgets.take ("a", "s"));
 
-    // A change of its part gives nothing more.
+    // A change of its share adds no retries.
     budgets.setMaxSaved (8.0);
     CHECK_FALSE (budgets.take ("a", "s"));
     budgets.giveBack ("a", "s");
@@ -227,7 +228,7 @@
     CHECK_FALSE (budgets.take ("a", "another"));
 }
 
-TEST_CASE ("a key runs once and is joined after that")
+TEST_CASE ("a keyed call runs once, and repeats of it join")
 {
     auto table = owningTable (wallNow - 1h);
     const auto call = entryAt (wallNow);
@@ -242,9 +243,10 @@
     CHECK (table.decide (call, now, wallNow, now + 1s).verdict == KeyVerdict::unknown);
 }
 
-TEST_CASE ("a call that joins has the record of the call that runs from the moment at which the key is known")
+TEST_CASE ("a call that joins gets the record of the running call as soon as the key is known")
 {
-    // The record was looked up in another table, to which it was added after the key: who came in between was told 409.
+    // Guards against a separate lookup of the record in a table to which it was added after the key: a repeat that
+    // arrived in between got 409.
     auto table = owningTable (wallNow - 1h);
     auto call = entryAt (wallNow);
     auto record = std::make_shared<RequestRecord> (RequestIdentity {});
@@ -257,7 +259,7 @@
     CHECK (joined.verdict == KeyVerdict::join);
     CHECK (joined.entry->record.lock() == record);
 
-    // The key does not keep the answer: that is bounded by the bytes and the time of the table of records.
+    // The key does not keep the answer alive: the table of records bounds its memory and time.
     record.reset();
     CHECK (table.decide (second, now, wallNow, now + 1s).entry->record.expired());
 }
@@ -274,7 +276,7 @@
     CHECK (table.openCount() == 1);
 }
 
-TEST_CASE ("a call that is proved not to have run may run yet")
+TEST_CASE ("a call that is proved not to have run can be made again")
 {
     auto table = owningTable (wallNow - 1h);
     const auto call = entryAt (wallNow);
@@ -283,7 +285,7 @@
     CHECK (table.decide (call, now, wallNow, now + 1s).verdict == KeyVerdict::run);
 }
 
-TEST_CASE ("an owner runs nothing past its lease, nor what an earlier owner may have run")
+TEST_CASE ("an owner runs no call after its lease, and none that an earlier owner may have run")
 {
     auto table = owningTable (wallNow);
     CHECK (table.decide (entryAt (wallNow + 1ms), now, wallNow, now).verdict == KeyVerdict::notOwner);
@@ -297,7 +299,7 @@
     CHECK (KeyTable().decide (entryAt (wallNow), now, wallNow, now + 1s).verdict == KeyVerdict::notOwner);
 }
 
-TEST_CASE ("keys handed over are known to the heir")
+TEST_CASE ("keys that are handed over are known to the new owner")
 {
     auto first = owningTable (wallNow - 1h);
     const auto finished = entryAt (wallNow);
@@ -306,17 +308,17 @@
     first.decide (running, now, wallNow, now + 1s);
     first.recordEnd (finished.account, finished.key, Ran::yes, true);
 
-    KeyTable heir;
+    KeyTable newOwner;
 
     for (const auto& [slot, owned] : first.owned())
-        heir.inherit (slot, owned.epoch + 1, owned.knownSince, first.entriesOf (slot));
+        newOwner.inherit (slot, owned.epoch + 1, owned.knownSince, first.entriesOf (slot));
 
-    CHECK (heir.decide (finished, now, wallNow, now + 1s).verdict == KeyVerdict::join);
-    CHECK (heir.decide (running, now, wallNow, now + 1s).verdict == KeyVerdict::unknown);
-    CHECK (heir.decide (entryAt (wallNow), now, wallNow, now + 1s).verdict == KeyVerdict::run);
+    CHECK (newOwner.decide (finished, now, wallNow, now + 1s).verdict == KeyVerdict::join);
+    CHECK (newOwner.decide (running, now, wallNow, now + 1s).verdict == KeyVerdict::unknown);
+    CHECK (newOwner.decide (entryAt (wallNow), now, wallNow, now + 1s).verdict == KeyVerdict::run);
 }
 
-TEST_CASE ("slots without a living owner are claimed by one router only")
+TEST_CASE ("slots without a live owner are claimed by one router only")
 {
     SlotView view;
     view.owners = { { "a", 1 }, { "b", 2 }, { "c", 3 } };
@@ -339,7 +341,7 @@
     CHECK (liveOwner (view, 0) == nullptr);
 }
 
-TEST_CASE ("slot records read back, and nonsense is passed over")
+TEST_CASE ("slot records survive a round trip, and malformed ones are skipped")
 {
     const SlotRecord record { "a", "127.0.0.1:1", 4, 5, 6, 0 };
     const auto read = parseSlotRecord (toText (record));
@@ -375,9 +377,9 @@
 
     const auto restored = StreamedAnswer::restore (answer.text(), answer.eventCodes(), answer.choices());
     REQUIRE (restored.has_value());
-    std::string shouldRetry;
-    restored->write (writer, 1, 1 << 20, shouldRetry);
-    CHECK (shouldRetry == rest);
+    std::string rewritten;
+    restored->write (writer, 1, 1 << 20, rewritten);
+    CHECK (rewritten == rest);
 
     CHECK_FALSE (StreamedAnswer::restore ("one", { 2 }, {}).has_value());
     CHECK_FALSE (StreamedAnswer::restore ("one", { 6, 4 }, {}).has_value());
