--- a/modules/snowrudder_requests/crashes/FatalRequests.cpp
+++ b/modules/snowrudder_requests/crashes/FatalRequests.cpp
@@ -76,7 +76,8 @@
         // A request that only ran beside fatal ones shares each of its crashes with one of them.
         const auto hasExclusiveCrash = ++counted >= crashesToStop && exclusiveCrashes > 0;
 
-        if (! score.decidedByAll && (hasExclusiveCrash || score.crashes >= static_cast<double> (crashesToStop)))
+        if (! score.decidedByAll &&
+            (hasExclusiveCrash || score.crashes >= static_cast<double> (crashesToStop)))
             score.decidedByAll = crash.at;
     }
 
--- a/modules/snowrudder_requests/record/RequestTable.cpp
+++ b/modules/snowrudder_requests/record/RequestTable.cpp
@@ -6,8 +6,8 @@
 auto RequestTable::add (const RecordPointer& record, std::string_view key) -> RecordPointer
 {
     const std::lock_guard lock (mutex);
-    const auto& about = record->identity();
-    const auto accountKey = key.empty() ? std::string() : about.account + "|" + std::string (key);
+    const auto& identity = record->identity();
+    const auto accountKey = key.empty() ? std::string() : identity.account + "|" + std::string (key);
 
     if (! key.empty())
     {
@@ -17,7 +17,7 @@
             return place->second;
     }
 
-    const auto isAdded = records.emplace (toString (about.id), Entry { record, accountKey }).second;
+    const auto isAdded = records.emplace (toString (identity.id), Entry { record, accountKey }).second;
     requireInvariant (isAdded, "a request identifier names one request");
     ++openRecords;
     return nullptr;
--- a/tests/unit/CrashWorld.cpp
+++ b/tests/unit/CrashWorld.cpp
@@ -302,7 +302,8 @@
 
 auto CrashWorld::cut (Caller& caller, const Incarnation& crashed) -> void
 {
-    const auto expiry = plan.isAddressAccepting ? *crashed.crashedAt + plan.entryLifetime - now : Duration::zero();
+    const auto expiry =
+        plan.isAddressAccepting ? *crashed.crashedAt + plan.entryLifetime - now : Duration::zero();
     const auto proved = std::max (expiry, Duration::zero()) + drawUpTo (plan.maxProofDelay);
     // A request waits for the proof of a crash no longer than a probe takes.
     constexpr auto probeTime = Duration (50ms);
--- a/tests/unit/CrashWorld.h
+++ b/tests/unit/CrashWorld.h
@@ -124,12 +124,16 @@
     auto step (Caller& caller) -> void;
     auto beginAttempt (Caller& caller) -> void;
     auto send (Caller& caller) -> void;
-    auto chooseReplica (const Caller& caller, const CrashAssessment& assessment) -> std::optional<std::size_t>;
+    auto chooseReplica (const Caller& caller, const CrashAssessment& assessment)
+        -> std::optional<std::size_t>;
+    /** Ends the connection of a caller's attempt to a replica that has crashed. */
     auto cut (Caller& caller, const Incarnation& crashed) -> void;
     auto finish (Caller& caller, bool isServed) -> void;
     auto isRunning (const Caller& current) const -> bool;
     auto areReplicasScarce (std::size_t node) const -> bool;
+    /** @returns a random duration from zero to `most`. */
     auto drawUpTo (Duration most) -> Duration;
+    /** @returns true with a probability of `share`. */
     auto isChosen (double share) -> bool;
 
     CrashPlan plan;
