--- a/modules/snowrudder_routing/choice/ChooseReplica.cpp
+++ b/modules/snowrudder_routing/choice/ChooseReplica.cpp
@@ -13,7 +13,9 @@
 namespace
 {
 
-/** The hash that the ranking is made for: a prompt's first bytes, or all that there is. */
+/** @returns the hash that replicas are ranked by: that of the prompt's leading blocks, or of the whole prompt where it
+    is shorter.
+*/
 auto anchorOf (const ChoiceInput& input, const ChoiceWeights& weights) -> std::uint64_t
 {
     if (input.blocks.empty())
@@ -22,8 +24,8 @@
     if (input.anchorBlock)
         return input.blocks[std::min (*input.anchorBlock, input.blocks.size() - 1)];
 
-    const auto wanted = std::max<std::size_t> (weights.anchorBytes / promptBlockBytes, 1);
-    return input.blocks[std::min (wanted, input.blocks.size()) - 1];
+    const auto anchorBlocks = std::max<std::size_t> (weights.anchorBytes / promptBlockBytes, 1);
+    return input.blocks[std::min (anchorBlocks, input.blocks.size()) - 1];
 }
 
 auto wasTried (const ChoiceInput& input, ReplicaNumber number) -> bool
@@ -50,14 +52,14 @@
     return 0.0;
 }
 
-/** Leaves out replicas that are full for a request of an account over its share, unless all are. */
-auto keepThoseWithRoom (std::vector<Candidate>& candidates) -> void
+/** Removes replicas that are full for a request of an account over its share, unless all of them are. */
+auto keepWithCapacity (std::vector<Candidate>& candidates) -> void
 {
-    if (std::ranges::any_of (candidates, &Candidate::hasRoom))
-        std::erase_if (candidates, [] (const Candidate& candidate) { return ! candidate.hasRoom; });
+    if (std::ranges::any_of (candidates, &Candidate::hasCapacity))
+        std::erase_if (candidates, [] (const Candidate& candidate) { return ! candidate.hasCapacity; });
 }
 
-/** Leaves out the replicas that belong to other requests' parts, unless all do. */
+/** Removes the replicas that belong to the partitions of other requests, unless all of them do. */
 auto keepSeparatedPartition (std::vector<Candidate>& candidates,
                              std::span<const ReplicaState> replicas,
                              const ChoiceInput& input,
@@ -71,8 +73,8 @@
         std::erase_if (candidates, isOthers);
 }
 
-/** @returns the hash below which a replica takes long prompts, where they are kept apart: all routers split the replicas
-    the same way. Nothing where they are not split for requests like this one.
+/** @returns the hash below which a replica is reserved for long prompts, or nothing where the replicas are not split
+    for this request. All routers split the replicas the same way.
 */
 auto longPromptBound (std::span<const ReplicaState> replicas,
                       const ChoiceInput& input,
@@ -98,7 +100,7 @@
     return *middle;
 }
 
-/** Leaves out the replicas of the other part. A request that has tried its own part may use the other. */
+/** Removes the replicas of the other partition, unless no candidate is left in the request's own, as after retries. */
 auto keepPartitionForLength (std::vector<Candidate>& candidates,
                              std::span<const ReplicaState> replicas,
                              bool isLong,
@@ -111,7 +113,7 @@
         std::erase_if (candidates, isOther);
 }
 
-/** The replica that the hash ranking for a prompt puts first among those seen so far. */
+/** Finds the replica with the highest rendezvous value for a prompt. */
 class RankedFirst
 {
 public:
@@ -128,7 +130,7 @@
         firstValue = value;
     }
 
-    [[nodiscard]] auto is (std::size_t index) const -> bool { return first == index; }
+    [[nodiscard]] auto isFirst (std::size_t index) const -> bool { return first == index; }
 
 private:
     static constexpr auto none = std::numeric_limits<std::size_t>::max();
@@ -138,10 +140,14 @@
     std::uint64_t firstValue = 0;
 };
 
-/** @returns the part of the replicas that one request weighs for their load alone, drawn at random; 1 where it weighs all. With all
-    of 295 routers weighing all replicas, 84 of 100 calls to 6 of them and 87 of 100 prompts to 204 waited for a slot, with a
-    quarter of the slots taken, and the busiest of 204 had 12 times the mean; with one drawn for calls and two for prompts 0.4 of
-    100 calls and no prompt waited, and it had 1.7 times (virtual time, loads told every 500 ms, 250 ms old).
+/** @returns the fraction of the replicas that are sampled at random as candidates for one request; 1 where all of them
+    are candidates.
+
+    Sampling avoids herding on stale load reports. Simulated with 295 routers, a quarter of the slots taken, and loads
+    that were shared every 500 ms and 250 ms old: when each router compares all replicas, 84% of the calls to 6 replicas
+    and 87% of the prompts to 204 replicas wait for a slot, and the busiest of the 204 has 12 times the mean load. When
+    one replica is sampled for calls and two for prompts, 0.4% of the calls and no prompt wait, and the busiest has 1.7
+    times the mean.
 */
 auto sampledShare (const ChoiceInput& input, const ChoiceWeights& weights, std::size_t replicas) -> double
 {
@@ -153,8 +159,8 @@
     return sampledReplicas / static_cast<double> (replicas);
 }
 
-/** Leaves out replicas that were not drawn and hold nothing of the prompt; the one whose place is first stays, so that one
-    does where none was drawn.
+/** Removes replicas that are not in the sample, hold no part of the prompt and do not rank first for it. The replica
+    with the lowest sample position always stays, so that the sample is never empty.
 */
 auto keepSampled (std::vector<Candidate>& candidates,
                   std::span<const ReplicaState> replicas,
@@ -170,22 +176,24 @@
     constexpr auto bits = 64;
 
     for (auto& candidate : candidates)
-        candidate.place =
+        candidate.samplePosition =
             static_cast<double> (rendezvousValue (input.draw, replicas[candidate.index].info.name)) /
             std::exp2 (bits);
 
-    const auto first = std::ranges::min_element (candidates, {}, &Candidate::place)->index;
+    const auto first = std::ranges::min_element (candidates, {}, &Candidate::samplePosition)->index;
     std::erase_if (candidates,
                    [&] (const Candidate& candidate)
                    {
-                       const auto isKept = candidate.place < share || candidate.index == first ||
+                       const auto isKept = candidate.samplePosition < share || candidate.index == first ||
                                            candidate.uncachedTokens < input.promptTokens ||
-                                           (! input.blocks.empty() && ranked.is (candidate.index));
+                                           (! input.blocks.empty() && ranked.isFirst (candidate.index));
                        return ! isKept;
                    });
 }
 
-/** What waiting on a replica costs: prompts before this one, and no slot free. */
+/** @returns the expected cost of waiting on a replica, in tokens: for the prompts queued before this one, and for busy
+    slots.
+*/
 auto waitCost (const ReplicaState& replica,
                double requestEstimate,
                const ChoiceWeights& weights,
@@ -195,11 +203,11 @@
     const auto occupancy = (requestEstimate + 1.0) / slots;
     const auto excess = std::max (0.0, occupancy - 1.0);
 
-    // A busy replica answers slower long before its slots run out.
+    // A busy replica slows down long before its slots run out.
     auto cost = weights.queue * estimatedPendingTokens (replica, now);
     cost += weights.busySlot * (0.25 * occupancy * occupancy + excess * slots);
 
-    // What the target leaves room for is nearly free: it only breaks ties towards the less busy replica.
+    // Waiting within the latency target is nearly free: it only breaks ties in favour of the less busy replica.
     constexpr auto tieBreak = 0.05;
     cost = std::max (0.0, cost - weights.freeWait) + tieBreak * std::min (cost, weights.freeWait);
 
@@ -215,8 +223,8 @@
     return cost;
 }
 
-/** @returns how many tokens a prompt's home, the replica that its ranking puts first, is taken to compute. Of a prompt's own
-    tokens nothing can be cached anywhere.
+/** @returns how many prompt tokens the replica that ranks first is assumed to compute. A prompt's own tokens are shared
+    with no other request, so no replica can have them cached.
 */
 auto uncachedAtFirstRanked (const ChoiceInput& input, const ChoiceWeights& weights) -> double
 {
@@ -224,7 +232,7 @@
     return input.promptTokens - shared * weights.assumedCached;
 }
 
-/** Keeps the candidates of the lowest scores, the lowest first: as many as a choice tells of. */
+/** Keeps the `keptCandidates` lowest scores, in ascending order. */
 auto keepBest (std::vector<Candidate>& candidates) -> void
 {
     const auto kept = std::min (keptCandidates, candidates.size());
@@ -276,7 +284,7 @@
     }
 
     if (input.isOverShare)
-        keepThoseWithRoom (choice.candidates);
+        keepWithCapacity (choice.candidates);
 
     if (! input.separatedFrom.empty())
         keepSeparatedPartition (choice.candidates, replicas, input, weights);
@@ -305,7 +313,7 @@
         if (isLongPrompt)
             candidate.score += weights.longPromptInterference * requestEstimate;
 
-        if (ranked.is (candidate.index) && ! input.blocks.empty())
+        if (ranked.isFirst (candidate.index) && ! input.blocks.empty())
             candidate.uncachedTokens =
                 std::min (candidate.uncachedTokens, uncachedAtFirstRanked (input, weights));
 
@@ -320,10 +328,10 @@
     choice.pendingTokens = estimatedPendingTokens (chosen, now);
     choice.loadAge = chosen.reportTime ? std::optional<Duration> (now - *chosen.reportTime) : std::nullopt;
     const auto isCached = matchedTokens (input, chosen.number) > 0.0;
-    choice.reason = choice.usable == 1         ? "only"
-                    : isCached                 ? "cached"
-                    : ranked.is (winner.index) ? "ranked"
-                                               : "spilled";
+    choice.reason = choice.usable == 1              ? "only"
+                    : isCached                      ? "cached"
+                    : ranked.isFirst (winner.index) ? "ranked"
+                                                    : "spilled";
     return choice;
 }
 
--- a/modules/snowrudder_routing/choice/ChooseReplica.h
+++ b/modules/snowrudder_routing/choice/ChooseReplica.h
@@ -11,117 +11,131 @@
 namespace snowrudder
 {
 
-/** Prices of what a choice costs, in tokens. */
+/** Weights of the cost function that replicas are compared by. Costs are in tokens. */
 struct ChoiceWeights
 {
-    /** Of one prompt token computed again. */
+    /** Cost of one prompt token that has to be computed because it is not cached. */
     double recompute = 1.0;
-    /** Of one prompt token that waits before this request. */
+    /** Cost of one prompt token that is queued on the replica before this request. */
     double queue = 1.0;
-    /** Of one request in place of a free slot. */
+    /** Cost of one request beyond the replica's slots; occupied slots below that count with a fraction of it. */
     double busySlot = 60.0;
-    /** Waiting that costs nothing, in the same tokens: the latency target leaves room for it. */
+    /** Cost of waiting that is nearly ignored, because the latency target allows for it; in tokens. */
     double freeWait = 8000.0;
-    /** Share of a prompt taken as cached where the hash ranking puts it, while nothing is known. */
+    /** Fraction of a prompt's shared tokens assumed to be cached on the replica that ranks first, where nothing better
+        is known.
+    */
     double assumedCached = 0.6;
-    /** Bytes of prompt that the hash ranking looks at. */
+    /** Length of the prompt prefix that the ranking is computed from, in bytes. */
     std::size_t anchorBytes = 4096;
-    /** Requests for each of its slots from which on a replica is full for a request of an account over its share. More
-        than one: the others' requests go before them there, and a flood that is spread over all replicas slows all of
-        them (docs/design/overload.md).
+    /** Requests per slot above which a replica counts as full for requests of an account over its share. It is above 1
+        because the requests of other accounts go first on the replica anyway, and because a flood that is spread over
+        all replicas slows down all of them (docs/design/overload.md).
     */
     double fullOccupancy = 1.5;
-    /** Prompts with more tokens of their own go to a part of the replicas that takes no others: a long prompt is computed in
-        pieces between the tokens of all that run beside it, and holds up each of their events. 0 keeps none apart.
+    /** Prompts with more unshared tokens than this go to replicas that are reserved for them: an engine computes a long
+        prompt in chunks between the decoding steps of the requests that run beside it, and so delays each of their
+        events. 0 reserves none.
     */
     double longPromptThreshold = 0.0;
-    /** Part of the replicas that takes long prompts. */
+    /** Fraction of the replicas that is reserved for long prompts. */
     double longPromptShare = 0.2;
-    /** Of each request that runs where a long prompt goes, in tokens: its events pause while the prompt is read. */
+    /** Cost of a long prompt for each request that already runs on the replica, in tokens: their events pause while the
+        prompt is computed.
+    */
     double longPromptInterference = 0.0;
-    /** Fewer usable replicas than this are not split. */
+    /** Replicas are only reserved for long prompts where at least this many are usable. */
     std::size_t minReplicasToSplit = 6;
-    /** Among more routers than can guess each other's sends, one weighs about this many replicas beside those that hold parts of
-        its prompt and the one that ranks first. All hear the same loads, some tenths of a second old: each would send to the
-        one that looked best then.
+    /** With more than `maxCountedRouters` routers, each request considers a random sample of about this many replicas,
+        plus those that hold parts of its prompt and the one that ranks first. All routers receive the same load
+        reports, some tenths of a second old; without sampling, all of them would choose the replica that had the lowest
+        load then.
     */
     double sampledReplicas = 2.0;
-    /** The same for a call without a prompt: it has ended before any news of it comes. */
+    /** Sample size for a call without a prompt. Such a call has ended before it shows in any load report. */
     double sampledReplicasForCalls = 1.0;
-    /** New replicas get work slowly for this long. */
+    /** How long a new replica gets less work than the others. */
     Duration slowStart = 10s;
 };
 
-/** What the choice needs to know of a request. */
+/** The properties of a request that the choice depends on. */
 struct ChoiceInput
 {
     std::span<const std::uint64_t> blocks;
-    /** Tokens up to each block's end, where callers state them; empty where blocks are of one size. */
+    /** Prompt tokens up to the end of each block, where callers state them; empty where all blocks have the same size.
+    */
     std::span<const double> blockTokens;
-    /** The block whose hash the ranking is made for; without it, the one that `anchorBytes` names. */
+    /** Index of the block whose hash replicas are ranked by. Where it is not set, `anchorBytes` determines the block.
+    */
     std::optional<std::size_t> anchorBlock;
     double promptTokens = 0.0;
-    /** Of these, the last ones that no other request shares. */
+    /** Of `promptTokens`, those at the end that the prompt shares with no other request. */
     double ownTokens = 0.0;
-    /** Replicas already tried by this request. */
+    /** Replicas that this request has already been tried on; they are not chosen again. */
     std::span<const ReplicaNumber> tried;
     std::span<const PrefixMatch> matches;
-    /** Whether the account has more than its share: its requests stay off full replicas while others are not full. */
+    /** Whether the account uses more than its share. Its requests then avoid full replicas while others are not full.
+    */
     bool isOverShare = false;
-    /** Routers that send to the same replicas. */
+    /** Number of routers that send to the same replicas, this one included. */
     std::size_t routers = 1;
-    /** Anchors of requests from which this one is to run apart, with an anchor of its own. Empty: it runs anywhere. */
+    /** Anchors of the requests that this one must not share replicas with; may hold its own. Empty: no restriction. */
     std::span<const std::uint64_t> separatedFrom;
-    /** Only replicas of this version are weighed, or all but those. Empty: all are. */
+    /** Restricts the choice to replicas of one version, or to those of any other version. Empty: no restriction. */
     std::string_view onlyVersion;
     std::string_view exceptVersion;
-    /** A random number, of which replicas to weigh are drawn where there are many routers. */
+    /** A random number that seeds the sample of replicas where there are many routers. */
     std::uint64_t draw = 0;
 };
 
-/** One replica that was weighed. */
+/** A replica considered for a request. */
 struct Candidate
 {
     std::size_t index = 0;
-    /** Expected cost in tokens; the least wins. */
+    /** Expected cost in tokens; the lowest is chosen. */
     double score = 0.0;
     double uncachedTokens = 0.0;
-    /** Whether it takes a request of an account over its share. */
-    bool hasRoom = true;
-    /** Where the request's draw puts it among all, from 0 to 1, where replicas are drawn. */
-    double place = 0.0;
+    /** Whether it accepts requests of an account over its share. */
+    bool hasCapacity = true;
+    /** A random number from 0 to 1, specific to the request; the replica is in the sample when it is below the sampled
+        fraction. Only set where replicas are sampled.
+    */
+    double samplePosition = 0.0;
 };
 
-/** What was chosen and why. */
+/** The chosen replica, the runners-up, and the reason. */
 struct Choice
 {
-    /** The best first; at most `keptCandidates`. */
+    /** In ascending order of score, so that the first one is chosen; at most `keptCandidates`. */
     std::vector<Candidate> candidates;
-    /** One word for the log: cached, ranked, spilled, or only. */
+    /** For the log: "cached" (holds part of the prompt), "ranked" (ranks first for it), "spilled" (neither), or "only"
+        (the only usable replica).
+    */
     std::string_view reason;
     std::size_t usable = 0;
-    /** Requests believed on the first candidate, everybody's together. */
+    /** Estimated number of requests of all routers on the chosen replica. */
     double requestEstimate = 0.0;
-    /** Prompt tokens believed to wait there, as far as routers told. */
+    /** Estimated number of prompt tokens queued there, including those that other routers announced. */
     double pendingTokens = 0.0;
-    /** Age of the first candidate's own word of its load; nothing while it has not said any. */
+    /** Age of the chosen replica's last load report; nothing while there is none. */
     std::optional<Duration> loadAge;
 };
 
 /** @returns the usable replicas with the least expected cost, or nothing when none is usable.
 
-    All routers rank replicas for a prompt the same way without talking (rendezvous hashing), so that a prefix new
-    to this router goes where other routers send it. What this router sent earlier tells more and goes first.
+    All routers rank the replicas for a prompt the same way without communication (rendezvous hashing), so that a prefix
+    that is new to this router goes to the replica that other routers send it to. Prefixes that this router sent earlier
+    take precedence over the ranking.
 */
 auto chooseReplica (std::span<const ReplicaState> replicas,
                     const ChoiceInput& input,
                     const ChoiceWeights& weights,
                     TimePoint now) -> std::optional<Choice>;
 
-/** Candidates kept for the log line. */
+/** Number of candidates kept for the log line. */
 inline constexpr auto keptCandidates = std::size_t { 4 };
 
-/** @returns a replica's place value in the ranking for a prompt: the highest ranks first. */
+/** @returns a replica's rendezvous hash for a prompt. The replica with the highest value ranks first. */
 auto rendezvousValue (std::uint64_t anchor, std::string_view replicaName) -> std::uint64_t;
 
 } // namespace snowrudder
--- a/modules/snowrudder_routing/choice/ReplicaPartition.h
+++ b/modules/snowrudder_routing/choice/ReplicaPartition.h
@@ -9,12 +9,13 @@
 namespace snowrudder
 {
 
-/** Splits replicas among requests that are to run apart. All routers that know the same requests split alike.
+/** Partitions the replicas among requests that must not share any. All routers that know the same requests compute the
+    same partitions.
 
     @param anchor   the request's hash
-    @param others   those of all requests that are to run apart; may hold its own
+    @param others   the hashes of all requests that must not share replicas; may hold the request's own
     @param replica  the replica's hash
-    @returns        whether the replica belongs to the request's part
+    @returns        whether the replica belongs to the request's partition
 */
 inline auto isInPartition (std::uint64_t anchor, std::span<const std::uint64_t> others, std::uint64_t replica)
     -> bool
--- a/modules/snowrudder_routing/prefix/PrefixIndex.cpp
+++ b/modules/snowrudder_routing/prefix/PrefixIndex.cpp
@@ -41,8 +41,8 @@
 
         auto isHeld = false;
 
-        // A block's hash stands for all before it too. An entry remembers few holders, so that a replica may be forgotten
-        // at a block that many share and still be known at a later one.
+        // A block's hash covers all blocks before it. An entry keeps few holders, so that a replica may have been
+        // evicted from a block that many replicas hold, and still be listed at a later one.
         for (const auto replica : std::span (entry.holders).first (entry.holderCount))
         {
             const auto known = std::ranges::find (matches, replica, &PrefixMatch::replica);
@@ -64,7 +64,7 @@
 
 auto PrefixIndex::record (std::span<const std::uint64_t> blocks, ReplicaNumber replica) -> void
 {
-    // From the end to the start, so that a prompt's first blocks are the last to be forgotten.
+    // In reverse, so that a prompt's first blocks are evicted last.
     for (auto place = blocks.rbegin(); place != blocks.rend(); ++place)
     {
         const auto block = *place;
--- a/modules/snowrudder_routing/prefix/PrefixIndex.h
+++ b/modules/snowrudder_routing/prefix/PrefixIndex.h
@@ -12,33 +12,35 @@
 namespace snowrudder
 {
 
-/** Names a replica inside one router for as long as the router runs; never used again. */
+/** Identifies a replica within one router process; never reused. */
 using ReplicaNumber = std::uint32_t;
 
-/** How many of a prompt's leading blocks a replica is believed to hold. */
+/** Number of a prompt's leading blocks that a replica is assumed to have cached. */
 struct PrefixMatch
 {
     ReplicaNumber replica = 0;
     std::size_t blocks = 0;
 };
 
-/** What this router believes the replicas' caches hold, from its own requests. Bounded: the least recently used
-    blocks are forgotten first, and a block remembers few holders.
+/** Estimates which prompt blocks the replicas have cached, from the requests that this router sent. The index is
+    bounded: the least recently used blocks are evicted first, and each block keeps only its most recent holders.
 */
 class PrefixIndex
 {
 public:
     explicit PrefixIndex (std::size_t maxBlocks = 65'536) : capacity (maxBlocks) {}
 
-    /** @returns each replica that is believed to hold the first block, with how far it goes on. */
+    /** @returns the replicas that are assumed to hold leading blocks of a prompt, each with the number of these blocks.
+    */
     [[nodiscard]] auto match (std::span<const std::uint64_t> blocks) const -> std::vector<PrefixMatch>;
 
-    /** Notes that a replica has computed these blocks. */
+    /** Records that a replica has computed these blocks. */
     auto record (std::span<const std::uint64_t> blocks, ReplicaNumber replica) -> void;
 
-    /** Notes that a replica no longer has what was believed of this prompt.
+    /** Removes a replica as a holder of a prompt's blocks from one block on, after they were found to be missing from
+        its cache.
 
-        @param from  the first block found missing
+        @param from  index of the first missing block
     */
     auto invalidate (std::span<const std::uint64_t> blocks, std::size_t from, ReplicaNumber replica) -> void;
 
@@ -47,7 +49,7 @@
 private:
     static constexpr auto maxHolders = std::size_t { 6 };
 
-    /** Holders of one block, the newest first. */
+    /** The holders of one block, the most recent first. */
     struct Entry
     {
         std::array<ReplicaNumber, maxHolders> holders {};
--- a/modules/snowrudder_routing/prefix/PromptBlocks.h
+++ b/modules/snowrudder_routing/prefix/PromptBlocks.h
@@ -7,26 +7,28 @@
 namespace snowrudder
 {
 
-/** Bytes of prompt text in one block. Routers know no engine's tokens, so blocks are cut by bytes. */
+/** Bytes of prompt text in one block. Blocks are measured in bytes because routers have no access to the engines'
+    tokenizers.
+*/
 inline constexpr auto promptBlockBytes = std::size_t { 256 };
 
-/** Blocks hashed of one prompt; what lies behind them does not steer the choice. */
+/** Maximum number of blocks hashed per prompt; text behind them does not affect the choice. */
 inline constexpr auto maxPromptBlocks = std::size_t { 512 };
 
-/** Bytes of text that make one token, as an estimate. */
+/** Estimated bytes of text per token. */
 inline constexpr auto bytesPerToken = std::size_t { 6 };
 
-/** Tokens in one block, as an estimate. */
+/** Estimated tokens per block. */
 inline constexpr auto blockTokenEstimate = static_cast<double> (promptBlockBytes) / bytesPerToken;
 
-/** @returns the hash of each whole block of a prompt, each depending on all text before its end.
+/** @returns the hash of each whole block of a prompt. Each hash covers all text up to the end of its block.
 
-    @param prompt   as promptText() gives it
-    @param account  salts the hashes: no client account's prompts meet another's
+    @param prompt   from promptText()
+    @param account  salts the hashes, so that the prompts of different client accounts never match
 */
 auto promptBlocks (std::string_view prompt, std::string_view account) -> std::vector<std::uint64_t>;
 
-/** @returns a prompt's length in tokens, as an estimate. */
+/** @returns the estimated length of a prompt in tokens. */
 inline auto estimateTokens (std::size_t bytes) -> double
 {
     return static_cast<double> (bytes) / bytesPerToken;
--- a/modules/snowrudder_routing/replicas/PromptSpeed.cpp
+++ b/modules/snowrudder_routing/replicas/PromptSpeed.cpp
@@ -10,13 +10,15 @@
 namespace
 {
 
-/** Of the prompts kept, the longest ones tell of reading: so many parts of them. */
+/** The speed is computed from the longest of the kept prompts only, one in this many. */
 constexpr auto longestFraction = std::size_t { 4 };
 
-/** Of the speeds that these show, the one taken: a third of them were held up by nothing in a busy service. */
+/** The quantile of their speeds that is used as the estimate. In a busy service only a third of the prompts are not
+    delayed by anything else.
+*/
 constexpr auto quantile = 0.8;
 
-/** Fewer prompts tell nothing. */
+/** Number of prompts below which there is no estimate. */
 constexpr auto minSamples = std::size_t { 24 };
 
 } // namespace
@@ -43,7 +45,8 @@
     const auto longest = kept.begin() + static_cast<std::ptrdiff_t> (kept.size() / longestFraction);
     std::ranges::nth_element (kept, longest, std::ranges::greater(), &Sample::tokens);
 
-    // What is not reading is the same for all; the answer that began first shows it best.
+    // The time spent on anything but computing the prompt is taken as constant; the fastest answer gives the best
+    // estimate of it.
     const auto first = std::ranges::min (kept, {}, &Sample::milliseconds);
     std::vector<double> speeds;
 
--- a/modules/snowrudder_routing/replicas/PromptSpeed.h
+++ b/modules/snowrudder_routing/replicas/PromptSpeed.h
@@ -9,23 +9,25 @@
 namespace snowrudder
 {
 
-/** Prompt tokens that a service's replicas read a millisecond, learnt from how long they take to begin their answers.
+/** Estimates the prefill speed of a service's replicas, in prompt tokens per millisecond, from the time that their
+    answers take to begin.
 
-    A prompt's own tokens can't be cached anywhere: a replica that begins to answer has read them, and whatever else made it
-    wait only makes it look slower. So the best of what was seen lately is near the truth, while queues, prompts that others
-    sent, tokens that were not cached and slow replicas pull down the rest. Within 12% of the truth at 20, 64, 157 and 400
-    tokens a millisecond with half of the answers held up (PromptSpeedTests, five seeds each).
+    The tokens that a prompt shares with no other can't be cached, so a replica that begins to answer has computed them.
+    Any other delay (queues, prompts from other routers, uncached shared tokens, slow replicas) only lowers the observed
+    speed, so a high quantile of the recent samples is near the real speed. The estimate is within 12% of it at 20, 64,
+    157 and 400 tokens per millisecond while half of the answers are delayed (PromptSpeedTests, five seeds each).
 */
 class PromptSpeed
 {
 public:
-    /** Notes how long a replica took to begin an answer.
+    /** Adds a sample.
 
-        @param ownTokens  of the prompt that no replica can have cached
+        @param ownTokens  tokens of the prompt that no replica can have cached
+        @param wait       from sending the request until the answer began
     */
     auto record (double ownTokens, Duration wait) -> void;
 
-    /** @returns nothing while too little was seen. */
+    /** @returns the estimate, or nothing while there are too few samples. */
     [[nodiscard]] auto tokensPerMillisecond() const -> std::optional<double> { return estimate; }
 
 private:
@@ -35,7 +37,9 @@
         double milliseconds = 0.0;
     };
 
-    /** The last ones are kept: the share of them that nothing held up must be above `quantile`'s rest, also in a rush. */
+    /** Number of most recent samples that are kept. Also under high load, more than 1 - `quantile` of them must be from
+        requests without other delays.
+    */
     static constexpr auto keptSamples = std::size_t { 64 };
 
     auto update() -> void;
@@ -45,8 +49,8 @@
     std::optional<double> estimate;
 };
 
-/** Taken for the speed of engines that nothing is known of yet, in prompt tokens a millisecond: too low a speed orders
-    replicas that nobody needs for some seconds, too high a one makes callers wait.
+/** Speed assumed for engines without an estimate yet, in prompt tokens per millisecond. A value that is too low orders
+    superfluous replicas for some seconds, one that is too high makes callers wait.
 */
 inline constexpr auto initialPromptSpeed = 64.0;
 
--- a/modules/snowrudder_routing/replicas/ReplicaState.cpp
+++ b/modules/snowrudder_routing/replicas/ReplicaState.cpp
@@ -25,7 +25,7 @@
 
     ++replica.failuresInRow;
 
-    // A refused connection is a sign by itself; a failed answer may be the request's own fault.
+    // A refused connection is conclusive; a failed answer may be caused by the request.
     if (health == AttemptHealth::failed && replica.failuresInRow < limits.failuresToOpen)
         return;
 
--- a/modules/snowrudder_routing/replicas/ReplicaState.h
+++ b/modules/snowrudder_routing/replicas/ReplicaState.h
@@ -15,7 +15,7 @@
 namespace snowrudder
 {
 
-/** One upstream replica as the VM list names it. */
+/** An upstream replica as listed by the platform. */
 struct ReplicaInfo
 {
     std::string name;
@@ -24,19 +24,19 @@
     std::string service;
     /** IP-NUMBER:PORT */
     std::string endpoint;
-    /** Requests that it works on at once. */
+    /** Number of requests that it processes concurrently. */
     std::uint32_t slots = 16;
-    /** Price of its VM an hour, in any one currency. */
+    /** Price of its VM per hour, in any currency that is the same for all replicas. */
     double price = 1.0;
-    /** When it was started, in milliseconds since the start of 1970; 0 where it does not say. A replica that starts again under
-        its name knows nothing of before.
+    /** Start time in milliseconds since 1970; 0 where the replica does not state it. A replica that restarts under its
+        name has lost all earlier state.
     */
     std::uint64_t born = 0;
-    /** Of its software; empty where it does not say. */
+    /** Version of its software; empty where the replica does not state it. */
     std::string version {};
 };
 
-/** A replica's own word of its load, some time old. */
+/** The load that a replica reported, some time ago. */
 struct LoadReport
 {
     std::uint32_t running = 0;
@@ -45,33 +45,33 @@
     bool leaving = false;
 };
 
-/** Why a replica gets nothing new, or that it may. */
+/** Whether a replica may get new requests, and if not, why. */
 enum class ReplicaAvailability
 {
     usable,
     leaving,
-    /** Its breaker is open after failures. */
+    /** Its circuit breaker is open after failures. */
     suspended,
-    /** It is known to have ended, or another one has its address: its entry is stale. */
+    /** It is known to have ended, or a later replica has its address; its entry is stale. */
     ended
 };
 
-/** @returns a short name of a replica for messages between routers. */
+/** @returns a short hash that identifies a replica in messages between routers. */
 inline auto replicaHash (std::string_view name) -> std::uint32_t
 {
     return static_cast<std::uint32_t> (hashBytes (name));
 }
 
-/** @returns what names one start of a replica in messages between routers. */
+/** @returns a hash that identifies one incarnation of a replica, from start to end, in messages between routers. */
 inline auto incarnationHash (const ReplicaInfo& replica) -> std::uint64_t
 {
     return hashBytes (replica.name, hashBytes (replica.endpoint, replica.born));
 }
 
-/** What was announced longer ago has run, also where the replica told nothing of its load since. */
+/** Requests announced longer ago than this are taken as finished, even without a load report since. */
 inline constexpr auto announcementLifetime = Duration (3s);
 
-/** What a router knows of one replica. */
+/** The state that a router keeps of one replica. */
 struct ReplicaState
 {
     ReplicaNumber number = 0;
@@ -80,47 +80,51 @@
     std::uint32_t hash = 0;
     TimePoint firstSeen {};
 
-    /** The first sign that it leaves. It stays: a list that calls it live again is a late list. */
+    /** When it was first known to be leaving. It is never reset: a list that shows the replica as live again is
+        outdated.
+    */
     std::optional<TimePoint> leavingSince;
 
     /** From incarnationHash(). */
     std::uint64_t incarnation = 0;
-    /** When it was last found to have ended. */
+    /** When it was last detected to have ended. */
     std::optional<TimePoint> endedAt;
     /** Whether a replica that was started later is listed at its address. */
     bool isReplaced = false;
-    /** The entry of a replica that ended goes after three heartbeats. One that was taken for ended wrongly is tried again then. */
+    /** The entry of a replica that ended expires after three heartbeats. A replica that was detected as ended by
+        mistake is used again after that time.
+    */
     static constexpr auto staleEntryLifetime = Duration (3s);
-    /** What another router heard counts as later by the way of its message. */
+    /** Upper bound on the delay of a load report that another router forwarded, by which its time may be late. */
     static constexpr auto forwardingDelay = Duration (50ms);
 
-    /** This router's requests on it now, and the prompt tokens of those that have not begun to answer. */
+    /** This router's requests in flight on it, and the prompt tokens of those whose answers have not begun. */
     std::uint32_t inFlight = 0;
     double ownPendingTokens = 0.0;
 
     LoadReport report;
     std::optional<TimePoint> reportTime;
-    /** This router's requests on it when the report came: what was sent since is not in the report. */
+    /** This router's requests in flight when the report was made. Requests sent since are not in the report. */
     std::uint32_t inFlightAtReport = 0;
     double ownPendingAtReport = 0.0;
-    /** When it will have read the prompts that other routers announced, as far as is known. */
+    /** When it is expected to have computed the prompts that other routers announced. */
     TimePoint othersPromptsDoneAt {};
-    /** Prompt tokens that it reads a millisecond, as taken for `othersPromptsDoneAt`. */
+    /** Prompt tokens per millisecond that `othersPromptsDoneAt` is computed with. */
     double promptSpeed = initialPromptSpeed;
-    /** When others' prompts were announced that its last word of its load can't hold yet. */
-    std::vector<TimePoint> announced;
-    /** When this router's last requests were sent to it, the oldest first; the last `keptSendTimes`. */
+    /** When other routers announced the prompts that its last load report does not include yet. */
+    std::vector<TimePoint> announcementTimes;
+    /** When this router's last `keptSendTimes` requests were sent to it, the oldest first. */
     std::vector<TimePoint> recentSendTimes;
     static constexpr auto keptSendTimes = std::size_t { 16 };
 
-    /** Breaker. */
+    /** State of the circuit breaker. */
     std::uint32_t failuresInRow = 0;
     std::uint32_t timesOpened = 0;
     std::optional<TimePoint> openUntil;
     bool isProbing = false;
 };
 
-/** @returns whether a replica may get new work. Asked of each replica for each request. */
+/** @returns whether a replica may get new requests. Called for each replica and request. */
 inline auto availabilityOf (const ReplicaState& replica, TimePoint now) -> ReplicaAvailability
 {
     if (replica.leavingSince)
@@ -135,21 +139,21 @@
     return ReplicaAvailability::usable;
 }
 
-/** How one attempt on a replica ended, as far as the replica's health is concerned. */
+/** What the outcome of one attempt shows of the replica's health. */
 enum class AttemptHealth
 {
     good,
-    /** The connection was refused or reset before a byte: the replica is gone or going. */
+    /** The connection was refused, or reset before the first byte: the replica has ended or is ending. */
     unreachable,
-    /** It answered with a failure, cut off or stalled. */
+    /** It answered with a failure, closed the connection during the answer, or stalled. */
     failed,
-    /** Its own refusal: busy, not ill. */
+    /** It rejected the request because it is busy, not because it is unhealthy. */
     refused,
-    /** Ended from this side; says nothing. */
+    /** The attempt was ended by this router, which gives no evidence. */
     neutral
 };
 
-/** Times of the breaker. */
+/** Parameters of the circuit breaker. */
 struct BreakerLimits
 {
     std::uint32_t failuresToOpen = 3;
@@ -157,29 +161,32 @@
     Duration longestPause = 30s;
 };
 
-/** Moves a replica's breaker after an attempt. */
+/** Updates a replica's circuit breaker after an attempt. */
 auto recordAttemptHealth (ReplicaState& replica,
                           AttemptHealth health,
                           const BreakerLimits& limits,
                           TimePoint now) -> void;
 
-/** Routers whose sends are guessed from one's own, at most: among more, one router's tell too little of the others'. */
+/** Maximum number of routers whose requests are extrapolated from this router's own. With more routers, those of one
+    say too little about those of the others.
+*/
 inline constexpr auto maxCountedRouters = std::size_t { 10 };
 
-/** @returns how many other routers to take as sending as this one does.
+/** @returns the number of other routers that are assumed to send as many requests as this one.
 
-    @param routers  that send to the same replicas, this one included
+    @param routers  number of routers that send to the same replicas, this one included
 */
 inline auto countedOtherRouters (std::size_t routers) -> double
 {
     return static_cast<double> (std::clamp<std::size_t> (routers, 1, maxCountedRouters) - 1);
 }
 
-/** @returns requests believed on a replica now, everybody's together: what it reported, and what was sent since.
+/** @returns the estimated number of requests of all routers on a replica: those it reported, and those sent since.
 
-    @param others  the other routers, from countedOtherRouters(). They choose as this one does, so each is taken to have sent as
-                   much since the report as this one did; without that, all send to the replica whose report looked best.
-                   What they announced since is known, and counts at least
+    @param others  from countedOtherRouters(). Other routers choose by the same rules, so each is assumed to have sent
+                   as many requests since the report as this one; otherwise all routers would send to the replica with
+                   the lowest reported load. The number of prompts that they announced since is a lower bound of this
+                   part
 */
 inline auto estimatedRequests (const ReplicaState& replica, TimePoint now, double others = 0.0) -> double
 {
@@ -187,19 +194,19 @@
     const auto own = static_cast<double> (replica.inFlight);
     const auto change = own - static_cast<double> (replica.inFlightAtReport);
     const auto known = std::max (own, reported + change);
-    const auto guessed = others * std::max (0.0, change);
+    const auto extrapolated = others * std::max (0.0, change);
 
-    // Asked of each replica for each request: most have nothing announced.
-    if (replica.announced.empty())
-        return known + guessed;
+    // A fast path, as this is called for each replica and request, and most replicas have no announcements.
+    if (replica.announcementTimes.empty())
+        return known + extrapolated;
 
     const auto announced = static_cast<double> (std::ranges::count_if (
-        replica.announced, [now] (TimePoint time) { return now - time <= announcementLifetime; }));
-    return known + std::max (guessed, announced);
+        replica.announcementTimes, [now] (TimePoint time) { return now - time <= announcementLifetime; }));
+    return known + std::max (extrapolated, announced);
 }
 
-/** @returns prompt tokens believed to wait for computing on a replica: its own word, what this router sent since, and what
-    other routers announced.
+/** @returns the estimated number of prompt tokens queued for computing on a replica: those it reported, those that this
+    router sent since, and those that other routers announced.
 */
 inline auto estimatedPendingTokens (const ReplicaState& replica, TimePoint now) -> double
 {
--- a/modules/snowrudder_routing/replicas/ReplicaTable.cpp
+++ b/modules/snowrudder_routing/replicas/ReplicaTable.cpp
@@ -11,36 +11,36 @@
 namespace
 {
 
-/** A VM's name, its address and the replica's start together tell one incarnation from the next. */
+/** The replica's name, its VM, its address and its start time identify one incarnation. */
 auto isSameIncarnation (const ReplicaInfo& first, const ReplicaInfo& second) -> bool
 {
     return first.name == second.name && first.vm == second.vm && first.endpoint == second.endpoint &&
            first.born == second.born;
 }
 
-/** @returns whether a replica is known to have been started after another one. Of those that this router found listed at its start
-    nothing is known, unless they say so.
+/** @returns whether a replica is known to have started after another one. The order of replicas that were already
+    listed when this router started is only known where they state their start times.
 */
-auto startedLater (const ReplicaState& replica, const ReplicaState& than) -> bool
+auto startedLater (const ReplicaState& replica, const ReplicaState& other) -> bool
 {
-    if (replica.info.born != 0 && than.info.born != 0 && replica.info.born != than.info.born)
-        return replica.info.born > than.info.born;
+    if (replica.info.born != 0 && other.info.born != 0 && replica.info.born != other.info.born)
+        return replica.info.born > other.info.born;
 
-    return replica.firstSeen > than.firstSeen;
+    return replica.firstSeen > other.firstSeen;
 }
 
-/** @param sentSince  requests that this router has sent since the replica spoke */
-auto applyReport (ReplicaState& replica, const LoadReport& report, TimePoint heard, std::uint32_t sentSince)
+/** @param sentSince  number of requests that this router has sent since the replica made the report */
+auto applyReport (ReplicaState& replica, const LoadReport& report, TimePoint reportedAt, std::uint32_t sentSince)
     -> void
 {
-    if (replica.endedAt && heard > *replica.endedAt + ReplicaState::forwardingDelay)
+    if (replica.endedAt && reportedAt > *replica.endedAt + ReplicaState::forwardingDelay)
         replica.endedAt.reset();
 
     replica.report = report;
-    replica.reportTime = heard;
+    replica.reportTime = reportedAt;
     replica.inFlightAtReport = replica.inFlight - std::min (replica.inFlight, sentSince);
     replica.ownPendingAtReport = replica.ownPendingTokens;
-    std::erase_if (replica.announced, [heard] (TimePoint time) { return time <= heard; });
+    std::erase_if (replica.announcementTimes, [reportedAt] (TimePoint time) { return time <= reportedAt; });
 }
 
 } // namespace
@@ -70,7 +70,7 @@
             state.info = entry.info;
             state.hash = replicaHash (entry.info.name);
             state.incarnation = incarnationHash (entry.info);
-            // What was there before this router needs no slow start.
+            // Replicas that were there before this router need no slow start.
             state.firstSeen = isFirstList ? TimePoint() : now;
         }
 
@@ -121,7 +121,7 @@
     auto& replica = replicas[winner.index];
 
     requireInvariant (availabilityOf (replica, now) == ReplicaAvailability::usable,
-                      "a leaving upstream gets nothing new");
+                      "the chosen replica may get new requests");
 
     replica.inFlight += 1;
     replica.recentSendTimes.push_back (now);
@@ -155,7 +155,7 @@
 
     ticket.expectedTokens = 0.0;
 
-    // Whatever was or was not cached before, the replica holds the prompt now.
+    // Whether it was cached before or not, the replica has computed the whole prompt now.
     if (cachedTokens)
         prefixes.record (blocks, ticket.number);
 }
@@ -181,7 +181,7 @@
     if (replica == nullptr)
         return;
 
-    requireInvariant (replica->inFlight > 0, "each request is counted off once");
+    requireInvariant (replica->inFlight > 0, "each request is released once");
     replica->inFlight -= 1;
     replica->ownPendingTokens = std::max (0.0, replica->ownPendingTokens - ticket.expectedTokens);
     recordAttemptHealth (*replica, health, breaker, now);
@@ -195,31 +195,31 @@
     if (replica == nullptr)
         return;
 
-    const auto nothingSince = std::uint32_t { 0 };
-    applyReport (*replica, report, now, nothingSince);
+    const auto noneSentSince = std::uint32_t { 0 };
+    applyReport (*replica, report, now, noneSentSince);
 
     if (report.leaving && ! replica->leavingSince)
         replica->leavingSince = now;
 }
 
-auto ReplicaTable::recordForwardedLoad (std::uint32_t hash, const LoadReport& report, TimePoint heard) -> void
+auto ReplicaTable::recordForwardedLoad (std::uint32_t hash, const LoadReport& report, TimePoint reportedAt) -> void
 {
     const std::lock_guard lock (mutex);
 
     forEachOfHash (hash,
                    [&] (ReplicaState& replica)
                    {
-                       if (replica.reportTime && *replica.reportTime >= heard)
+                       if (replica.reportTime && *replica.reportTime >= reportedAt)
                            return;
 
-                       // Heard of an earlier start under the same name.
-                       if (heard < replica.firstSeen)
+                       // The report is from an earlier incarnation under the same name.
+                       if (reportedAt < replica.firstSeen)
                            return;
 
-                       // What this router sent after the replica spoke is not in its word.
+                       // Requests that this router sent after the replica made the report are not in it.
                        const auto sentSince = static_cast<std::uint32_t> (std::ranges::count_if (
-                           replica.recentSendTimes, [heard] (TimePoint taken) { return taken > heard; }));
-                       applyReport (replica, report, heard, sentSince);
+                           replica.recentSendTimes, [reportedAt] (TimePoint at) { return at > reportedAt; }));
+                       applyReport (replica, report, reportedAt, sentSince);
                    });
 }
 
@@ -233,12 +233,12 @@
                        replica.promptSpeed =
                            promptSpeeds[replica.info.service].tokensPerMillisecond().value_or (
                                initialPromptSpeed);
-                       const auto reading = std::chrono::duration_cast<Duration> (
+                       const auto prefill = std::chrono::duration_cast<Duration> (
                            std::chrono::duration<double, std::milli> (tokens / replica.promptSpeed));
-                       replica.othersPromptsDoneAt = std::max (replica.othersPromptsDoneAt, now) + reading;
-                       std::erase_if (replica.announced,
+                       replica.othersPromptsDoneAt = std::max (replica.othersPromptsDoneAt, now) + prefill;
+                       std::erase_if (replica.announcementTimes,
                                       [now] (TimePoint time) { return now - time > announcementLifetime; });
-                       replica.announced.push_back (now);
+                       replica.announcementTimes.push_back (now);
                    });
 }
 
--- a/modules/snowrudder_routing/replicas/ReplicaTable.h
+++ b/modules/snowrudder_routing/replicas/ReplicaTable.h
@@ -16,21 +16,21 @@
 namespace snowrudder
 {
 
-/** A replica's place in a request's life: taken by ReplicaTable::take, returned by ReplicaTable::release. */
+/** A request's claim on a replica, from ReplicaTable::take() until ReplicaTable::release(). */
 struct ReplicaTicket
 {
     ReplicaNumber number = 0;
     ReplicaInfo info;
-    /** Prompt tokens that the replica is believed to compute for it. */
+    /** Estimated prompt tokens that the replica still has to compute for the request. */
     double expectedTokens = 0.0;
 };
 
-/** A choice with what the log line needs. */
+/** A chosen replica with the details that are logged. */
 struct TakenReplica
 {
     ReplicaTicket ticket;
     Choice choice;
-    /** Names of the candidates, in the choice's order. */
+    /** Names of `choice.candidates`, in the same order. */
     std::vector<std::string> candidateNames;
 };
 
@@ -41,98 +41,104 @@
     bool leaving = false;
 };
 
-/** How a replica stands in the lists that this router was given. */
+/** The status of a replica in the lists that this router received. */
 enum class ReplicaListing
 {
     listed,
     leaving,
-    /** Another replica is listed at its address. */
+    /** A replica that started later is listed at its address. */
     replaced,
     /** No longer listed. */
     unlisted
 };
 
-/** All replicas of all services that this router knows. Any thread may call it; one mutex guards it all, and nothing
-    else is locked while it is held.
+/** The state of all replicas of all services. Thread-safe: one mutex guards the whole table, and no other lock is taken
+    while it is held.
 */
 class ReplicaTable
 {
 public:
-    /** Takes over a new VM list. Replicas that are gone from it are dropped; a sign of leaving is never taken back. */
+    /** Applies a new list of replicas. Replicas that are not in it are removed; a replica that was leaving stays so. */
     auto update (const std::vector<ListedReplica>& listed, TimePoint now) -> void;
 
-    /** Chooses a replica and counts the request against it.
+    /** Chooses a replica with chooseReplica() and counts the request as in flight on it.
 
-        @returns nothing when no replica is usable
+        @returns nothing when there is no usable replica
     */
     auto take (const std::string& service,
                const ChoiceInput& input,
                const ChoiceWeights& weights,
                TimePoint now) -> std::optional<TakenReplica>;
 
-    /** A way to choose; chooseReplica() is the one in use, benchmarks compare it with others. */
+    /** A function that chooses a replica. Routers use chooseReplica(); benchmarks compare it with other policies. */
     using ChoiceFunction =
         std::function<auto(std::span<const ReplicaState>, const ChoiceInput&)->std::optional<Choice>>;
 
-    /** Takes a replica as another way chooses it. */
+    /** Like take(), with a different function to choose the replica. */
     auto takeWith (const std::string& service,
                    const ChoiceInput& input,
                    const ChoiceFunction& choiceFunction,
                    TimePoint now) -> std::optional<TakenReplica>;
 
-    /** Notes that a replica began to answer: its prompt is computed and now cached.
+    /** Records that a replica began to answer, so that the prompt is computed and cached.
 
-        @param cachedTokens  of the prompt, as the replica states it; corrects what was believed
+        @param cachedTokens  prompt tokens that were cached, as the replica reports them; where it reports any number,
+                             the blocks are recorded as cached
     */
     auto recordAnswerStart (ReplicaTicket& ticket,
                             std::span<const std::uint64_t> blocks,
                             std::optional<double> cachedTokens) -> void;
 
-    /** Notes how long after it was sent a request that was not held up here began to be answered.
+    /** Adds a sample to the estimate of a service's prompt speed, from a request that was not delayed by this router.
 
-        @param ownTokens  of its prompt that no replica can have cached
+        @param ownTokens  tokens of the prompt that no replica can have cached
+        @param wait       from sending the request until its answer began
     */
     auto recordWait (const std::string& service, double ownTokens, Duration wait) -> void;
 
-    /** @returns prompt tokens that a service's replicas read a millisecond; nothing while too little was seen. */
+    /** @returns the prompt tokens that a replica of a service computes per millisecond, or nothing while there are too
+        few samples.
+    */
     [[nodiscard]] auto promptSpeed (const std::string& service) const -> std::optional<double>;
 
-    /** Ends a request's count against its replica and moves the replica's breaker. */
+    /** Ends a request's claim on its replica and updates the replica's circuit breaker. */
     auto release (const ReplicaTicket& ticket, AttemptHealth health, TimePoint now) -> void;
 
+    /** Records the load that a replica reported to this router. */
     auto recordLoad (ReplicaNumber number, const LoadReport& report, TimePoint now) -> void;
 
-    /** Notes a load that another router heard; an older one than what is known changes nothing.
+    /** Records the load that a replica reported to another router. A report that is older than the last one is ignored.
 
-        @param hash   from replicaHash()
-        @param heard  when the replica told it
+        @param hash        from replicaHash()
+        @param reportedAt  when the replica made the report
     */
-    auto recordForwardedLoad (std::uint32_t hash, const LoadReport& report, TimePoint heard) -> void;
+    auto recordForwardedLoad (std::uint32_t hash, const LoadReport& report, TimePoint reportedAt) -> void;
 
-    /** Notes a prompt that another router sent to a replica just now.
+    /** Records a prompt that another router has just sent to a replica.
 
         @param hash    from replicaHash()
-        @param tokens  that the replica has to read
+        @param tokens  prompt tokens that the replica has to compute
     */
     auto recordAnnouncedPrompt (std::uint32_t hash, double tokens, TimePoint now) -> void;
 
-    /** Notes a first sign of leaving: the replica gets nothing new from here on. */
+    /** Marks a replica as leaving: it gets no new requests from now on. */
     auto markLeaving (ReplicaNumber number, TimePoint now) -> void;
 
-    /** Notes that one start of a replica was found to have ended: it gets nothing while its entry may still stand, unless it is heard
-        of again.
+    /** Marks an incarnation of a replica as ended. It gets no requests until its entry has had time to expire, unless a
+        later load report shows that it is alive.
 
         @param incarnation  from incarnationHash()
     */
     auto markEnded (std::uint64_t incarnation, TimePoint at) -> void;
 
-    /** @returns when one start of a replica was last heard of, in an answer to any router; nothing where it was not.
+    /** @returns the time of the last load report from an incarnation of a replica, to any router, or nothing where
+        there is none.
 
         @param incarnation  from incarnationHash()
     */
     [[nodiscard]] auto lastReportTime (std::uint64_t incarnation) const -> std::optional<TimePoint>;
 
-    /** Notes that a replica's own face can't be reached, apart from any request. */
+    /** Records that a replica could not be reached by a check that belongs to no request. */
     auto markUnreachable (ReplicaNumber number, TimePoint now) -> void;
 
     [[nodiscard]] auto listing (ReplicaNumber number) const -> ReplicaListing;
@@ -143,7 +149,7 @@
         return listing (number) != ReplicaListing::listed;
     }
 
-    /** Calls a function with each replica, under the table's lock. */
+    /** Calls a function with each replica while the table is locked. */
     template <typename Visitor>
     auto forEach (Visitor&& visit) const -> void
     {
@@ -154,7 +160,7 @@
                 visit (replica);
     }
 
-    /** @returns requests that a service's usable replicas work on at once, and those believed on them now. */
+    /** Concurrency of a service's usable replicas, and how much of it is estimated to be in use. */
     struct Capacity
     {
         double slots = 0.0;
@@ -163,12 +169,12 @@
 
     [[nodiscard]] auto capacity (const std::string& service, TimePoint now) const -> Capacity;
 
-    /** Of all replicas of a service, usable or not. */
+    /** Totals over all replicas of a service, usable or not. */
     struct Totals
     {
         double replicas = 0.0;
         double slots = 0.0;
-        /** This router's requests that they have now. */
+        /** This router's requests in flight on them. */
         double inFlight = 0.0;
     };
 
@@ -178,7 +184,7 @@
     auto find (ReplicaNumber number) -> ReplicaState*;
     auto markReplaced() -> void;
 
-    /** Calls a function with each replica whose name has a hash; the lock is held. */
+    /** Calls a function with each replica that has a name hash. The caller holds the lock. */
     template <typename Visitor>
     auto forEachOfHash (std::uint32_t hash, Visitor&& visit) -> void
     {
--- a/modules/snowrudder_routing/snowrudder_routing.h
+++ b/modules/snowrudder_routing/snowrudder_routing.h
@@ -1,9 +1,9 @@
 /** @file
-    snowrudder_routing: which replica gets a request.
+    snowrudder_routing: the choice of the replica that a request is sent to.
 
-    - replicas/  what a router knows of each replica and of how fast they read, and the table that all workers share
-    - prefix/    block hashes of prompts, and which replicas are believed to hold which blocks
-    - choice/    the choice itself: a free function over plain structs
+    - replicas/  the state of each replica, estimates of prompt speed, and the table that all workers share
+    - prefix/    block hashes of prompts, and which replicas are assumed to have which blocks cached
+    - choice/    the choice of a replica: a free function over plain structs
 
     Nothing here does input or output or reads a clock. Depends on: snowrudder_core.
 */
--- a/tests/bench/DecisionCost.cpp
+++ b/tests/bench/DecisionCost.cpp
@@ -7,8 +7,9 @@
 #include <string>
 #include <vector>
 
-/** Makes a number of whole decisions, for counting their instructions: admission, fair queue, prompt blocks, choice
-    among the replicas, release. Run under callgrind at two numbers, the difference is the decisions' own.
+/** Makes a number of complete routing decisions to count their instructions: admission, fair queue, prompt blocks,
+    choice of a replica, release. The difference between two runs under callgrind, with different numbers of decisions,
+    is the cost of the decisions without the setup.
 */
 auto main (int argumentCount, char** arguments) -> int
 {
--- a/tests/unit/ChoiceTests.cpp
+++ b/tests/unit/ChoiceTests.cpp
@@ -8,7 +8,7 @@
 using namespace snowrudder;
 using namespace snowrudder::tests;
 
-TEST_CASE ("all routers rank an unseen prompt alike, and accounts apart")
+TEST_CASE ("all routers rank the replicas for a new prompt alike, and accounts share no block hashes")
 {
     const auto prompt = std::string (8000, 'p');
     const auto blocks = promptBlocks (prompt, "a");
@@ -26,7 +26,7 @@
     CHECK (chosen.size() == 1);
 }
 
-TEST_CASE ("a prompt goes back to where its prefix is")
+TEST_CASE ("a prompt goes to the replica that has its prefix cached")
 {
     ReplicaTable table;
     table.update ({ listed ("x"), listed ("y"), listed ("z") }, now);
@@ -39,7 +39,7 @@
     CHECK (second->choice.reason == "cached");
 }
 
-TEST_CASE ("a crowded replica's work spills over")
+TEST_CASE ("requests spill over from a replica that is full")
 {
     ReplicaTable table;
     table.update ({ listed ("x"), listed ("y") }, now);
@@ -81,7 +81,7 @@
         CHECK_FALSE (forShort.contains (name));
 }
 
-TEST_CASE ("few replicas are not split, and a request that tried its part uses the other")
+TEST_CASE ("few replicas are not split, and a request whose own partition was tried uses the other one")
 {
     ChoiceWeights weights;
     weights.longPromptThreshold = 1000.0;
@@ -113,7 +113,7 @@
     CHECK (second->ticket.number != first->ticket.number);
 }
 
-TEST_CASE ("a long prompt goes where nothing runs, though others' prompts are known from announcements only")
+TEST_CASE ("a long prompt goes to an idle replica, even if others are known only from announcements")
 {
     const auto replicas = listedNumbered (8);
     ChoiceWeights weights;
@@ -126,7 +126,8 @@
     input.promptTokens = input.ownTokens = 20'000.0;
     std::set<std::string> used;
 
-    // Four replicas take long prompts; another router has sent one to each but one, and they have been read.
+    // Four replicas take long prompts. Another router announces one on each of them. All are computed within a second,
+    // but only one replica has reported its load by then.
     while (used.size() < 4)
     {
         const auto taken = table.take ("s", input, weights, now);
@@ -139,12 +140,12 @@
     table.recordForwardedLoad (replicaHash (free), { 0, 0, 0.0, false }, now + 1s);
     CHECK (table.take ("s", input, weights, now + 1s)->ticket.info.name == free);
 
-    // What was announced long ago is over, also where the replica told nothing since.
+    // Announcements expire, also for replicas that have not reported their load since.
     const auto later = table.take ("s", input, weights, now + 4s);
     CHECK (later->choice.requestEstimate == 0.0);
 }
 
-TEST_CASE ("only what prompts share draws a request to where its prefix ranks first")
+TEST_CASE ("only shared prompt tokens count as cached on the replica that ranks first")
 {
     const std::vector<std::uint64_t> blocks { 11, 12 };
     const std::vector<double> blockTokens { 100.0, 800.0 };
@@ -168,7 +169,7 @@
     table.recordAnnouncedPrompt (replicaHash (ranked), waiting, now);
     CHECK (table.take ("s", input, {}, now)->ticket.info.name != ranked);
 
-    // Where most of the prompt is shared, the same wait is worth it.
+    // Where most of the prompt is shared, the cached tokens outweigh the same wait.
     input.promptTokens = 5800.0;
     input.ownTokens = 700.0;
     const std::vector<double> longShared { 5100.0, 5800.0 };
@@ -179,7 +180,7 @@
     CHECK (other.take ("s", input, {}, now)->ticket.info.name == ranked);
 }
 
-TEST_CASE ("the prefix index forgets the least recently used")
+TEST_CASE ("the prefix index evicts the least recently used blocks")
 {
     PrefixIndex index (4);
     const std::vector<std::uint64_t> first { 1, 2 };
@@ -196,7 +197,7 @@
     CHECK (index.match (third).front().blocks == 1);
 }
 
-TEST_CASE ("each router takes the others to have sent as it did since the last report")
+TEST_CASE ("a router assumes that the others sent as many requests as itself since the last report")
 {
     ReplicaState replica;
     replica.report.running = 4;
@@ -207,7 +208,7 @@
     CHECK (countedOtherRouters (1) == 0.0);
     CHECK (countedOtherRouters (1000) == countedOtherRouters (maxCountedRouters));
 
-    // What ended here says nothing of what ended elsewhere.
+    // Requests that ended on this router are no evidence of requests that ended on others.
     replica.inFlight = 0;
     CHECK (estimatedRequests (replica, now, countedOtherRouters (3)) == 3.0);
 }
--- a/tests/unit/PromptSpeedTests.cpp
+++ b/tests/unit/PromptSpeedTests.cpp
@@ -9,13 +9,15 @@
 namespace
 {
 
-/** Answers of engines that read a prompt with what is cached of it left out, behind other prompts half of the time. */
-auto learn (double tokensPerMillisecond, std::uint64_t seed, int answers) -> PromptSpeed
+/** Feeds an estimate with simulated answers: the shared tokens are cached in three of four cases, half of the prompts
+    wait behind others, and one of ten answers is slow.
+*/
+auto estimateFrom (double tokensPerMillisecond, std::uint64_t seed, int answers) -> PromptSpeed
 {
     constexpr auto beginMilliseconds = 30.0;
     constexpr auto meanTokens = 4'000.0;
     constexpr auto sharedTokens = 3'000.0;
-    PromptSpeed learnt;
+    PromptSpeed estimate;
     std::mt19937_64 random (seed);
     std::lognormal_distribution<double> sizes (std::log (meanTokens) - 0.5, 1.0);
     std::uniform_real_distribution<double> draw (0.0, 1.0);
@@ -27,44 +29,44 @@
         const auto isCached = draw (random) < 0.75;
         const auto before = draw (random) < 0.5 ? queued (random) : 0.0;
         const auto isSlow = draw (random) < 0.1;
-        const auto read = (own + (isCached ? 0.0 : sharedTokens) + before) / tokensPerMillisecond;
-        const auto milliseconds = (beginMilliseconds + read) * (isSlow ? 4.0 : 1.0);
-        learnt.record (own, std::chrono::duration_cast<Duration> (
+        const auto computeTime = (own + (isCached ? 0.0 : sharedTokens) + before) / tokensPerMillisecond;
+        const auto milliseconds = (beginMilliseconds + computeTime) * (isSlow ? 4.0 : 1.0);
+        estimate.record (own, std::chrono::duration_cast<Duration> (
                                 std::chrono::duration<double, std::milli> (milliseconds)));
     }
 
-    return learnt;
+    return estimate;
 }
 
 } // namespace
 
-TEST_CASE ("what engines read a millisecond is learnt from their answers, through queues and missing caches")
+TEST_CASE ("the prompt speed is estimated from answers, in spite of queues and uncached tokens")
 {
     constexpr auto tolerance = 0.12;
 
     for (const auto truth : { 20.0, 64.0, 157.0, 400.0 })
         for (auto seed = std::uint64_t { 1 }; seed <= 5; ++seed)
         {
-            const auto learnt = learn (truth, seed, 200).tokensPerMillisecond();
-            INFO ("truth " << truth << ", seed " << seed << ", learnt " << learnt.value_or (0.0));
-            REQUIRE (learnt);
-            CHECK (*learnt == Approx (truth).epsilon (tolerance));
+            const auto estimate = estimateFrom (truth, seed, 200).tokensPerMillisecond();
+            INFO ("truth " << truth << ", seed " << seed << ", estimate " << estimate.value_or (0.0));
+            REQUIRE (estimate);
+            CHECK (*estimate == Approx (truth).epsilon (tolerance));
         }
 }
 
-TEST_CASE ("a few answers tell nothing of an engine's speed, nor do prompts without tokens of their own")
+TEST_CASE ("few answers, or prompts without unshared tokens, give no estimate of the prompt speed")
 {
-    CHECK_FALSE (learn (157.0, 1, 5).tokensPerMillisecond());
+    CHECK_FALSE (estimateFrom (157.0, 1, 5).tokensPerMillisecond());
 
-    PromptSpeed learnt;
+    PromptSpeed estimate;
 
     for (auto count = 0; count < 100; ++count)
-        learnt.record (0.0, std::chrono::milliseconds (50 + count));
+        estimate.record (0.0, std::chrono::milliseconds (50 + count));
 
-    CHECK_FALSE (learnt.tokensPerMillisecond());
+    CHECK_FALSE (estimate.tokensPerMillisecond());
 }
 
-TEST_CASE ("prompts that others announced wait for as long as the replicas' learnt speed makes them")
+TEST_CASE ("announced prompts count as pending for as long as the estimated speed takes to compute them")
 {
     const auto start = TimePoint (1h);
     ReplicaTable table;
--- a/tests/unit/ReplicaTableTests.cpp
+++ b/tests/unit/ReplicaTableTests.cpp
@@ -5,7 +5,7 @@
 using namespace snowrudder;
 using namespace snowrudder::tests;
 
-TEST_CASE ("a sign of leaving is never taken back")
+TEST_CASE ("a replica that was listed as leaving stays so")
 {
     ReplicaTable table;
     table.update ({ listed ("x"), listed ("y") }, now);
@@ -19,7 +19,7 @@
     CHECK_FALSE (table.take ("s", {}, {}, now).has_value());
 }
 
-TEST_CASE ("a replica that starts again under its name is taken as new in all that is believed of it")
+TEST_CASE ("a replica that restarts under its name keeps no state of its earlier incarnation")
 {
     ReplicaTable table;
     auto replica = listed ("one");
@@ -46,7 +46,7 @@
     CHECK (after->choice.requestEstimate == Approx (0.0));
     CHECK_FALSE (after->choice.loadAge);
 
-    // What others heard of the earlier start, and what this router still had there, changes nothing.
+    // Forwarded reports and released requests of the earlier incarnation are ignored.
     table.recordForwardedLoad (hash, { 12, 25, 0.0, false }, restarted - 100ms);
     table.release (before->ticket, AttemptHealth::unreachable, restarted);
     const auto next = table.take ("s", {}, ChoiceWeights(), restarted);
@@ -54,9 +54,9 @@
     CHECK (next->choice.requestEstimate == Approx (1.0));
 }
 
-// The entry of a replica that crashed stands for three heartbeats. Requests that went on to such entries were refused one after
-// the other.
-TEST_CASE ("an entry at whose address a later replica is listed gets nothing")
+// The entry of a replica that crashed remains for three heartbeats. Guards against requests being retried on such stale
+// entries, where each attempt is refused.
+TEST_CASE ("an entry gets no requests once a later replica is listed at its address")
 {
     ReplicaTable table;
     auto before = listed ("before");
@@ -72,7 +72,7 @@
         CHECK (table.take ("s", {}, {}, now + 1s)->ticket.info.name == "after");
 }
 
-TEST_CASE ("of replicas that a router finds listed at one address the one that was born later is used")
+TEST_CASE ("of replicas listed at one address in a router's first list, the one that started later is used")
 {
     ReplicaTable table;
     auto stale = listed ("a");
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE (
-    "a replica that was found to have ended gets nothing until it is heard of again, or for three seconds")
+    "a replica that was detected as ended gets no requests until a later load report, or for three seconds")
 {
     ReplicaTable table;
     table.update ({ listed ("x") }, now);
@@ -105,12 +105,12 @@
     table.recordForwardedLoad (replicaHash ("x"), { 1, 0, 0.0, false }, now + 4100ms);
     CHECK (table.take ("s", {}, {}, now + 5s));
 
-    // Told late: it has spoken since.
+    // A late message: the replica has reported its load since.
     table.markEnded (incarnation, now + 4050ms);
     CHECK (table.take ("s", {}, {}, now + 5s));
 }
 
-TEST_CASE ("a refused connection suspends a replica, a probe brings it back")
+TEST_CASE ("a refused connection suspends a replica, a successful probe resumes it")
 {
     ReplicaTable table;
     table.update ({ listed ("x") }, now);
@@ -125,7 +125,7 @@
     CHECK (table.take ("s", {}, {}, now + 1200ms).has_value());
 }
 
-TEST_CASE ("failed answers suspend after three in a row, and longer each time")
+TEST_CASE ("a replica is suspended after three failed answers in a row, and for longer each time")
 {
     ReplicaState replica;
     const BreakerLimits limits;
@@ -143,7 +143,7 @@
     CHECK (replica.failuresInRow == 4);
 }
 
-TEST_CASE ("a prompt that another router announced keeps others off until it has been read")
+TEST_CASE ("a prompt that another router announced counts as load until it has been computed")
 {
     ReplicaTable table;
     table.update ({ listed ("x"), listed ("y") }, now);
@@ -156,13 +156,13 @@
     for (auto count = 0; count < 5; ++count)
         CHECK (table.take ("s", input, {}, now + 100ms)->ticket.info.name == "y");
 
-    // At 64 tokens a millisecond it has been read by now; y has five requests.
+    // At 64 tokens per millisecond x has computed it by now, while y has five requests.
     const auto later = table.take ("s", input, {}, now + 501ms);
     CHECK (later->ticket.info.name == "x");
     CHECK (later->choice.pendingTokens == 0.0);
 }
 
-TEST_CASE ("a load that another router heard counts with what was sent since, and never goes back")
+TEST_CASE ("a forwarded load report counts together with requests sent since, and older reports are ignored")
 {
     ReplicaTable table;
     table.update ({ listed ("x") }, now);
@@ -176,7 +176,7 @@
 
     table.take ("s", inputFor (blocks), {}, now);
     table.take ("s", inputFor (blocks), {}, now + 300ms);
-    // The replica spoke between the two: only the second is not in its word.
+    // The replica made the report between the two requests: only the second one is not in it.
     table.recordForwardedLoad (replicaHash ("x"), { 5, 2, 0.0, false }, now + 200ms);
     CHECK (requestEstimate() == Approx (8.0));
 
--- a/tests/unit/RoutingFixtures.h
+++ b/tests/unit/RoutingFixtures.h
@@ -8,7 +8,7 @@
 namespace snowrudder::tests
 {
 
-/** Any point in time. */
+/** An arbitrary point in time. */
 inline constexpr auto now = TimePoint (1h);
 
 inline auto listed (const std::string& name, bool leaving = false) -> ListedReplica
@@ -18,7 +18,7 @@
     info.vm = "vm-" + name;
     info.failureDomain = "d";
     info.service = "s";
-    // Addresses differ as those of replicas that run beside each other do.
+    // Replicas that run at the same time have different addresses.
     constexpr auto ports = std::uint64_t { 65'000 };
     info.endpoint = "127.0.0.1:" + std::to_string (1 + hashBytes (name) % ports);
     return { info, leaving };
