--- a/modules/snowrudder_limits/queue/FairQueue.cpp
+++ b/modules/snowrudder_limits/queue/FairQueue.cpp
@@ -15,15 +15,15 @@
     return startWaiting();
 }
 
-auto FairQueue::request (const QueuedRequest& wanted, std::uint32_t maxQueued, TimePoint now) -> QueueResult
+auto FairQueue::request (const QueuedRequest& queued, std::uint32_t maxQueued, TimePoint now) -> QueueResult
 {
     currentTime = now;
-    auto& account = accounts[wanted.account];
+    auto& account = accounts[queued.account];
     account.recentRequests = decayedRequests (account) + 1.0;
     account.lastRequested = now;
-    account.weight = std::max (1U, wanted.weight);
+    account.weight = std::max (1U, queued.weight);
     const auto startTag = std::max (earliestTag(), account.finishTag);
-    const auto work = wanted.cost / account.weight;
+    const auto work = queued.cost / account.weight;
 
     if (account.queue.empty() && mayStart (account, activeWeights()))
     {
@@ -34,14 +34,14 @@
 
     const auto wait = estimatedWait (countAhead (startTag));
 
-    if (account.queue.size() >= maxQueued || now + wait >= wanted.deadline)
+    if (account.queue.size() >= maxQueued || now + wait >= queued.deadline)
     {
         eraseIdle();
         return { QueueAction::refuse, std::max<Duration> (wait, 1s) };
     }
 
     account.finishTag = startTag + work;
-    account.queue.push_back ({ wanted, startTag });
+    account.queue.push_back ({ queued, startTag });
     ++waitingCount;
     return { QueueAction::wait, {} };
 }
@@ -51,13 +51,13 @@
 {
     constexpr auto smoothing = 0.05;
     currentTime = now;
-    const auto place = accounts.find (account);
-    requireInvariant (place != accounts.end() && place->second.running > 0, "each place is given back once");
-    changeRunning (place->second, place->second.running - 1);
+    const auto found = accounts.find (account);
+    requireInvariant (found != accounts.end() && found->second.running > 0, "each slot is released once");
+    changeRunning (found->second, found->second.running - 1);
     --runningCount;
     const auto seconds = std::chrono::duration<double> (took).count();
-    meanSeconds += smoothing * (seconds - meanSeconds);
-    auto& hold = place->second.meanHoldSeconds;
+    meanSlotSeconds += smoothing * (seconds - meanSlotSeconds);
+    auto& hold = found->second.meanHoldSeconds;
     hold += hold == 0.0 ? seconds : smoothing * (seconds - hold);
 
     auto started = startWaiting();
@@ -75,7 +75,7 @@
         if (found == account.queue.end())
             continue;
 
-        // What was not used is not charged.
+        // Work that was not done is not charged to the account.
         account.finishTag -= found->request.cost / account.weight;
         account.queue.erase (found);
         --waitingCount;
@@ -122,9 +122,9 @@
 
 auto FairQueue::isFlooding (const Account& account, double weights) const -> bool
 {
-    const auto askedEachSecond =
+    const auto requestsPerSecond =
         decayedRequests (account) / std::chrono::duration<double> (averagingTime).count();
-    return askedEachSecond * account.meanHoldSeconds > floodFactor * shareOf (account, weights);
+    return requestsPerSecond * account.meanHoldSeconds > floodFactor * shareOf (account, weights);
 }
 
 auto FairQueue::decayedRequests (const Account& account) const -> double
@@ -196,7 +196,7 @@
 auto FairQueue::estimatedWait (std::size_t before) const -> Duration
 {
     const auto seconds =
-        (static_cast<double> (before) + 1.0) * meanSeconds / static_cast<double> (window.slots);
+        (static_cast<double> (before) + 1.0) * meanSlotSeconds / static_cast<double> (window.slots);
     return std::chrono::duration_cast<Duration> (std::chrono::duration<double> (seconds));
 }
 
@@ -207,7 +207,7 @@
     if (waitingCount == 0 || runningCount >= window.slots)
         return started;
 
-    // An account that waits is active, and stays so as it starts: one sum serves for all.
+    // An account with waiting requests is active and stays so when one starts, so the sum stays valid in the loop.
     const auto weights = activeWeights();
 
     while (waitingCount > 0 && runningCount < window.slots)
@@ -241,11 +241,11 @@
 
 auto FairQueue::eraseIdle() -> void
 {
-    // An account whose work lies behind has nothing left to remember.
+    // An inactive account whose work is in the past of the virtual time has no state worth keeping.
     std::erase_if (accounts,
-                   [this] (const auto& place)
+                   [this] (const auto& known)
                    {
-                       const auto& account = place.second;
+                       const auto& account = known.second;
                        return ! isActive (account) && account.finishTag <= earliestTag();
                    });
 }
--- a/modules/snowrudder_limits/queue/FairQueue.h
+++ b/modules/snowrudder_limits/queue/FairQueue.h
@@ -12,129 +12,139 @@
 namespace snowrudder
 {
 
-/** One request that waits for a place before a service's upstreams. */
+/** A request for a slot at the upstreams of a service. */
 struct QueuedRequest
 {
     std::uint64_t ticket = 0;
     std::string account;
-    /** Share against other accounts. */
+    /** The account's weight relative to other accounts. */
     std::uint32_t weight = 1;
     /** Estimated work, in tokens. */
     double cost = 1.0;
-    /** When waiting has lost its sense. */
+    /** The time after which it is useless to start the request. */
     TimePoint deadline {};
 };
 
-/** How many requests may be at the upstreams at once. */
+/** Limits on the number of requests at the upstreams at the same time. */
 struct QueueWindow
 {
     std::uint32_t slots = 1;
-    /** Of these, as many as may be taken when an account that floods gets one. The rest stays free for the others. */
+    /** Number of slots that may be in use for a flooding account to get one. The remaining slots are reserved for other
+        accounts.
+    */
     std::uint32_t slotsUnderFlood = 1;
 };
 
-/** What became of a request that asked for a place. */
+/** The result of a request for a slot. */
 enum class QueueAction
 {
-    /** It has a place now. */
+    /** The request has a slot and may start. */
     start,
-    /** It waits. */
+    /** The request is queued. */
     wait,
-    /** It was turned away: it could not be served in time. */
+    /** The request is rejected: it would not start before its deadline, or the account's queue is full. */
     refuse
 };
 
 struct QueueResult
 {
     QueueAction action = QueueAction::refuse;
-    /** An honest guess of when to come back, where it was refused. */
+    /** Where the request was refused, the estimated time after which a retry can succeed. */
     Duration retryAfter {};
 };
 
-/** Start-time fair queueing over client accounts, in tokens of estimated work, before the upstreams of one service. Each
-    request gets a start tag: where its account's work ends, or the queue's virtual time if that is later. The least tag
-    starts first. An account's flood stands behind its own work: an account that asks for less than its share starts
-    before it (docs/design/overload.md compares this with deficit round robin).
+/** Start-time fair queueing of client accounts before the upstreams of one service, measured in tokens of estimated
+    work. Each request gets a start tag: the finish tag of its account's previous request, or the queue's virtual time
+    if that is later. The request with the lowest tag starts first. A flood only delays its own account: requests of an
+    account that uses less than its share start before it (docs/design/overload.md compares this with deficit round
+    robin).
 
-    Plain decisions: the caller keeps what a ticket stands for, and the lock.
+    The queue only makes decisions: the caller maps tickets to requests, and does the locking.
 */
 class FairQueue
 {
 public:
-    /** Sets how many requests may be at the upstreams at once.
+    /** Sets the limits on concurrent requests.
 
-        @returns tickets that may start now
+        @returns tickets of queued requests that may start now
     */
     auto setWindow (const QueueWindow& slots, TimePoint now) -> std::vector<std::uint64_t>;
 
-    /** Asks for a place.
+    /** Requests a slot.
 
-        @param maxQueued  an account's longest queue
+        @param maxQueued  maximum number of queued requests per account
     */
-    auto request (const QueuedRequest& wanted, std::uint32_t maxQueued, TimePoint now) -> QueueResult;
+    auto request (const QueuedRequest& queued, std::uint32_t maxQueued, TimePoint now) -> QueueResult;
 
-    /** Gives a place back.
+    /** Releases a slot.
 
-        @param account  of the request that had it
-        @param took     how long it had it
-        @returns        tickets that may start now
+        @param account  of the request that held the slot
+        @param took     how long the request held it
+        @returns        tickets of queued requests that may start now
     */
     auto finish (const std::string& account, Duration took, TimePoint now) -> std::vector<std::uint64_t>;
 
-    /** Takes a waiting request out.
+    /** Removes a queued request.
 
-        @returns false when it does not wait (any more)
+        @returns false when it is not queued (any more)
     */
     auto withdraw (std::uint64_t ticket) -> bool;
 
-    /** @returns tickets whose deadline has passed; they no longer wait. */
+    /** Removes queued requests whose deadline has passed.
+
+        @returns their tickets
+    */
     auto removeExpired (TimePoint now) -> std::vector<std::uint64_t>;
 
-    /** @returns whether an account has more places than its weight gives it among those that asked lately. Its requests
-        go behind the others' in the engines' own queues.
+    /** @returns whether an account uses more slots than its weighted share among the active accounts. Its requests get
+        a lower priority in the engines' own queues.
     */
     [[nodiscard]] auto isOverShare (const std::string& name) const -> bool;
 
     [[nodiscard]] auto waiting() const -> std::size_t { return waitingCount; }
     [[nodiscard]] auto running() const -> std::uint32_t { return runningCount; }
 
-    /** @returns how long a request of an account would wait now, from how fast places come free. */
+    /** @returns the estimated time that a new request of an account would wait, from the rate at which slots are
+        released.
+    */
     [[nodiscard]] auto expectedWait (const std::string& account) const -> Duration;
 
 private:
     struct Entry
     {
         QueuedRequest request;
-        /** In virtual time. */
+        /** Start tag in virtual time. */
         double startTag = 0.0;
     };
 
     struct Account
     {
         std::deque<Entry> queue;
-        /** Where the account's work ends in virtual time. */
+        /** The virtual time at which the account's requested work ends. */
         double finishTag = 0.0;
         double weight = 1.0;
         std::uint32_t running = 0;
         TimePoint lastRequested {};
-        /** Mean of `running` over the last few seconds: a share may be less than one place. */
+        /** Exponentially decaying mean of `running`. An account's share may be less than one slot, which its current
+            number of slots can't show.
+        */
         double meanRunning = 0.0;
         TimePoint meanRunningAt {};
-        /** Requests that it asked for, up to `lastRequested`, fading over `averagingTime`. */
+        /** Number of its requests, decaying over `averagingTime`, as of `lastRequested`. */
         double recentRequests = 0.0;
-        /** Mean time that a request of it has its place. */
+        /** Mean time that its requests hold their slots, in seconds; 0 until one has ended. */
         double meanHoldSeconds = 0.0;
     };
 
-    /** An account counts among those that share the window for this long after it asked for a place. */
+    /** How long an account counts as active, and so has a share of the window, after its last request. */
     static constexpr auto activeTime = Duration (30s);
-    /** Work that an account may ask for at once, in tokens for each unit of its weight, before its requests stand behind
-        those of accounts that ask steadily.
+    /** Work that an account may request at once, in tokens per unit of its weight, before its requests queue behind
+        those of accounts with a steady load.
     */
     static constexpr auto burstAllowance = 1000.0;
-    /** Over which an account's running requests, and those that it asks for, are averaged. */
+    /** Time constant of the averages of an account's running requests and of its request rate. */
     static constexpr auto averagingTime = Duration (10s);
-    /** An account floods when it asks for this many times its share. */
+    /** An account is flooding when its demand is more than this many times its share. */
     static constexpr auto floodFactor = 4.0;
 
     [[nodiscard]] auto earliestTag() const -> double { return virtualTime - burstAllowance; }
@@ -142,15 +152,15 @@
     [[nodiscard]] auto estimatedWait (std::size_t before) const -> Duration;
     auto startWaiting() -> std::vector<std::uint64_t>;
     auto recordStart (Account& account, double startTag) -> void;
-    /** @returns the weights of all active accounts together. */
+    /** @returns the sum of the weights of all active accounts. */
     [[nodiscard]] auto activeWeights() const -> double;
-    /** @returns the places that an account's weight gives it among the active ones. */
+    /** @returns an account's weighted share of the slots among the active accounts. */
     [[nodiscard]] auto shareOf (const Account& account, double weights) const -> double;
     [[nodiscard]] auto isActive (const Account& account) const -> bool;
-    /** @returns whether an account asks for several times its share of places. */
+    /** @returns whether an account's demand is more than `floodFactor` times its share of the slots. */
     [[nodiscard]] auto isFlooding (const Account& account, double weights) const -> bool;
     [[nodiscard]] auto meanRunningNow (const Account& account) const -> double;
-    /** @returns what is left of a count made at a time, as it fades over `averagingTime`. */
+    /** @returns the factor by which a value of an earlier time has decayed until now. */
     [[nodiscard]] auto decaySince (TimePoint time) const -> double;
     [[nodiscard]] auto decayedRequests (const Account& account) const -> double;
     auto changeRunning (Account& account, std::uint32_t running) -> void;
@@ -160,12 +170,12 @@
     std::map<std::string, Account> accounts;
     double virtualTime = 0.0;
     QueueWindow window;
-    /** The latest time that any call told. */
+    /** The time passed to the last call. */
     TimePoint currentTime {};
     std::uint32_t runningCount = 0;
     std::size_t waitingCount = 0;
-    /** Mean time that a request has its place. */
-    double meanSeconds = 0.5;
+    /** Mean time that a request holds its slot, in seconds. */
+    double meanSlotSeconds = 0.5;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_limits/rate/AccountLimiter.cpp
+++ b/modules/snowrudder_limits/rate/AccountLimiter.cpp
@@ -11,12 +11,12 @@
                             TimePoint now) -> Admission
 {
     const std::lock_guard lock (mutex);
-    auto place = accounts.find (account);
+    auto found = accounts.find (account);
 
-    if (place == accounts.end())
-        place = accounts.emplace (account, State()).first;
+    if (found == accounts.end())
+        found = accounts.emplace (account, State()).first;
 
-    auto& state = place->second;
+    auto& state = found->second;
     const auto rate = limits.requestsPerSecond * share;
     const auto burst = std::max (1.0, rate * burstTime);
     const auto isNew = state.bucket.refilledAt == TimePoint();
@@ -43,10 +43,11 @@
 auto AccountLimiter::leave (std::string_view account) -> void
 {
     const std::lock_guard lock (mutex);
-    const auto place = accounts.find (account);
+    const auto found = accounts.find (account);
 
-    requireInvariant (place != accounts.end() && place->second.open > 0, "each admitted request leaves once");
-    --place->second.open;
+    requireInvariant (found != accounts.end() && found->second.open > 0,
+                      "each admitted request is released once");
+    --found->second.open;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_limits/rate/AccountLimiter.h
+++ b/modules/snowrudder_limits/rate/AccountLimiter.h
@@ -12,37 +12,37 @@
 namespace snowrudder
 {
 
-/** What one client account may do on this router. */
+/** Limits of a client account on this router, before admit() applies its share. */
 struct AccountLimits
 {
     double requestsPerSecond = 0.0;
     std::uint32_t concurrentRequests = 0;
 };
 
-/** The answer to one request for admission. */
+/** Whether a request is admitted. */
 struct Admission
 {
     bool admitted = false;
-    /** When to ask again, where it was not. */
+    /** Where the request was not admitted, the time after which to retry. */
     Duration retryAfter {};
 };
 
-/** Rates and concurrency of each client account. Any thread may call it; one mutex guards it. */
+/** Limits the request rate and the concurrency of each client account. Thread-safe. */
 class AccountLimiter
 {
 public:
-    /** Counts a request in when the account's limits allow it.
+    /** Admits a request if the account's limits allow it. Each admitted request is ended with leave().
 
-        @param share  this router's part of the account's limits, from 0 to 1
+        @param share  this router's fraction of the account's limits, from 0 to 1
     */
     auto admit (std::string_view account, const AccountLimits& limits, double share, TimePoint now)
         -> Admission;
 
-    /** Counts a request out. */
+    /** Ends an admitted request. */
     auto leave (std::string_view account) -> void;
 
 private:
-    /** A burst of this much of the rate is allowed. */
+    /** Size of an allowed burst, in seconds of the account's rate. */
     static constexpr auto burstTime = 1.0;
 
     struct State
--- a/modules/snowrudder_limits/rate/TokenBucket.h
+++ b/modules/snowrudder_limits/rate/TokenBucket.h
@@ -7,18 +7,18 @@
 namespace snowrudder
 {
 
-/** A rate with a burst: a bucket that fills evenly and from which is taken. */
+/** A token bucket, which limits a rate and allows bursts. */
 struct TokenBucket
 {
-    /** Filled a second. */
+    /** Tokens added per second. */
     double rate = 0.0;
-    /** Most that it holds. */
+    /** Capacity in tokens. */
     double burst = 0.0;
     double level = 0.0;
     TimePoint refilledAt {};
 };
 
-/** Fills a bucket up to now. */
+/** Adds the tokens that have accrued since the last refill. */
 inline auto refill (TokenBucket& bucket, TimePoint now) -> void
 {
     const auto passed = std::chrono::duration<double> (now - bucket.refilledAt).count();
@@ -30,16 +30,16 @@
     bucket.refilledAt = now;
 }
 
-/** @returns what a bucket holds, or will hold, at a time. */
+/** @returns a bucket's level at a time, which may be in the future. */
 inline auto levelAt (TokenBucket bucket, TimePoint time) -> double
 {
     refill (bucket, time);
     return bucket.level;
 }
 
-/** Takes an amount if it is there.
+/** Takes an amount of tokens if the bucket holds that many.
 
-    @returns whether it was
+    @returns whether they were taken
 */
 inline auto take (TokenBucket& bucket, double amount, TimePoint now) -> bool
 {
@@ -52,7 +52,9 @@
     return true;
 }
 
-/** @returns how long until an amount will be there, as the bucket stands. */
+/** @returns the time until a bucket holds an amount of tokens if none are taken, but an hour if it never does as its
+    rate is 0.
+*/
 inline auto timeUntil (const TokenBucket& bucket, double amount) -> Duration
 {
     constexpr auto never = std::chrono::hours (1);
--- a/tests/unit/FairQueueTests.cpp
+++ b/tests/unit/FairQueueTests.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE ("an account that asks for less than its share starts first")
+TEST_CASE ("a request of an account below its share starts before the queue of one that floods")
 {
     FairQueue queue;
     queue.setWindow ({ 2, 2 }, now);
@@ -31,7 +31,7 @@
     CHECK (queue.isOverShare ("other") == false);
 }
 
-TEST_CASE ("shares follow weights")
+TEST_CASE ("accounts get slots in proportion to their weights")
 {
     FairQueue queue;
     queue.setWindow ({ 1, 1 }, now);
@@ -60,12 +60,12 @@
     CHECK (heavyStarts <= 62);
 }
 
-TEST_CASE ("an account that floods leaves the kept places to the others")
+TEST_CASE ("an account that floods can't take the reserved slots")
 {
     FairQueue queue;
     queue.setWindow ({ 8, 6 }, now);
 
-    // Both are known to hold a place for a second.
+    // Requests of both accounts hold their slots for a second on average.
     for (const auto* account : { "flood", "other" })
     {
         CHECK (queue.request (queued (1, account), 100, now).action == QueueAction::start);
@@ -77,22 +77,23 @@
     for (auto ticket = std::uint64_t { 1000 }; ticket < 1400; ++ticket)
         started += queue.request (queued (ticket, "flood"), 1000, now).action == QueueAction::start ? 1 : 0;
 
-    // It may fill the window until it is seen to flood: 4 places of 8 are its share, so 160 requests within 10 s.
+    // It may fill the window until it counts as flooding. Its share is 4 of 8 slots, so that takes 160 requests within
+    // 10 s.
     CHECK (started == 8);
     CHECK (queue.isOverShare ("flood"));
 
-    // What it gives back goes to nobody until six places are taken; then one for one.
+    // Slots that it releases stay free while six or more are in use; after that, one request starts per released slot.
     CHECK (queue.finish ("flood", 1s, now).empty());
     CHECK (queue.finish ("flood", 1s, now).empty());
     CHECK (queue.finish ("flood", 1s, now).size() == 1);
 
-    // The kept places are there at once.
+    // The reserved slots are available to another account immediately.
     CHECK (queue.request (queued (2000, "other"), 100, now).action == QueueAction::start);
     CHECK (queue.request (queued (2001, "other"), 100, now).action == QueueAction::start);
     CHECK_FALSE (queue.isOverShare ("other"));
 }
 
-TEST_CASE ("an account that is alone has the whole window")
+TEST_CASE ("a single active account may use the whole window")
 {
     FairQueue queue;
     queue.setWindow ({ 8, 6 }, now);
@@ -103,7 +104,7 @@
     CHECK (queue.request (queued (9, "only"), 100, now).action == QueueAction::wait);
 }
 
-TEST_CASE ("a small account's short burst is not held behind a flood")
+TEST_CASE ("a short burst of a small account is not delayed by a flood")
 {
     FairQueue queue;
     queue.setWindow ({ 1, 1 }, now);
@@ -112,7 +113,7 @@
     for (auto ticket = std::uint64_t { 1 }; ticket <= 200; ++ticket)
         queue.request (queued (ticket, "flood"), 1000, now);
 
-    // Each of the flood's requests moves the queue's time on.
+    // Each request of the flood advances the queue's virtual time.
     for (auto count = 0; count < 100; ++count)
         REQUIRE (queue.finish ("flood", 10ms, now).size() == 1);
 
@@ -122,7 +123,7 @@
     CHECK (queue.finish ("small", 10ms, now) == std::vector<std::uint64_t> { 1002 });
 }
 
-TEST_CASE ("a queue refuses what it could not serve in time, and says when to come back")
+TEST_CASE ("a queue rejects requests that it could not start in time, with an estimate of when to retry")
 {
     FairQueue queue;
     queue.setWindow ({ 1, 1 }, now);
@@ -139,7 +140,7 @@
     CHECK (queue.finish ("a", 1s, now).empty());
 }
 
-TEST_CASE ("an account's rate and concurrency hold")
+TEST_CASE ("an account's limits on rate and concurrency are enforced")
 {
     AccountLimiter limiter;
     const AccountLimits limits { 2.0, 3 };
