--- a/modules/snowrudder_serving/configuration/RoutingConfiguration.h
+++ b/modules/snowrudder_serving/configuration/RoutingConfiguration.h
@@ -43,7 +43,9 @@
     std::vector<WeightedService> services;
     /** Maximum time from the arrival of a request to the end of its answer. */
     Duration timeout = 30s;
-    /** Target for the time until the answer, or until the first event of a stream. Answers within it are worth the most. */
+    /** Target for the time until the answer, or until the first event of a stream. Answers within it are worth the
+        most.
+    */
     Duration latencyTarget = 1s;
     /** 0 is the most urgent. */
     std::uint32_t priority = 0;
