--- a/modules/snowrudder_router/Router.cpp
+++ b/modules/snowrudder_router/Router.cpp
@@ -19,14 +19,14 @@
 namespace
 {
 
-constexpr auto usualWorkers = std::uint32_t { 2 };
+constexpr auto defaultWorkers = std::uint32_t { 2 };
 
 /** The balancer needs this long to see that a router is no longer ready. */
-constexpr auto balancerTime = 1s;
+constexpr auto balancerDelay = 1s;
 
 auto workerCount (const schema::RouterSettings& settings) -> std::uint32_t
 {
-    return settings.has_workers() ? settings.workers() : usualWorkers;
+    return settings.has_workers() ? settings.workers() : defaultWorkers;
 }
 
 } // namespace
@@ -50,7 +50,7 @@
         return error;
 
     startBackground();
-    asio::co_spawn (workers.front().loop, stopWhenAsked(), asio::detached);
+    asio::co_spawn (workers.front().loop, stopOnRequest(), asio::detached);
 
     LogLine ("started")
         .with ("node", state.settings.node().name())
@@ -72,7 +72,7 @@
         worker.server = std::make_shared<HttpServer> (
             worker.loop, state.limits,
             [this, &worker] (Exchange& exchange) { return handleExchange (state, worker, exchange); },
-            [this] (ErrorKind kind) { return rejectionAnswer (state, kind); });
+            [this] (ErrorKind kind) { return rejectionResponse (state, kind); });
 
         if (const auto error = worker.server->listen (parseEndpoint (state.settings.listen())))
             return error;
@@ -84,21 +84,21 @@
 auto Router::startBackground() -> void
 {
     auto& worker = workers.front();
-    const auto crashWake = std::make_shared<Signal> (worker.loop.get_executor());
-    state.crashes.onNews = [crashWake] { crashWake->notify(); };
+    const auto crashSignal = std::make_shared<Signal> (worker.loop.get_executor());
+    state.crashes.onNews = [crashSignal] { crashSignal->notify(); };
     asio::co_spawn (worker.loop, followTree (state, worker), asio::detached);
-    asio::co_spawn (worker.loop, spreadTree (state, worker), asio::detached);
-    asio::co_spawn (worker.loop, spreadCrashes (state, worker, crashWake), asio::detached);
+    asio::co_spawn (worker.loop, gossipTree (state, worker), asio::detached);
+    asio::co_spawn (worker.loop, gossipCrashes (state, worker, crashSignal), asio::detached);
     asio::co_spawn (worker.loop, followVmList (state, worker), asio::detached);
     asio::co_spawn (worker.loop, watchLoads (state, worker), asio::detached);
     asio::co_spawn (worker.loop, keepSlots (state, worker), asio::detached);
     asio::co_spawn (worker.loop, sweepRequests (state, worker), asio::detached);
 }
 
-auto Router::stopWhenAsked() -> Task<void>
+auto Router::stopOnRequest() -> Task<void>
 {
     auto& worker = workers.front();
-    const auto drainTime = co_await waitForSign();
+    const auto drainTime = co_await waitForStopRequest();
 
     state.leaving = true;
     LogLine ("leaving")
@@ -109,7 +109,7 @@
 
     // The balancer goes on sending callers here until it has seen /readyz. Slots go first: the heir needs no wait.
     co_await handOverSlots (state, worker);
-    asio::steady_timer timer (worker.loop, std::min<Duration> (balancerTime, drainTime / 2));
+    asio::steady_timer timer (worker.loop, std::min<Duration> (balancerDelay, drainTime / 2));
     co_await timer.async_wait (asTuple);
 
     for (auto& each : workers)
@@ -130,18 +130,19 @@
     pool.stop();
 }
 
-auto Router::waitForSign() -> Task<Duration>
+auto Router::waitForStopRequest() -> Task<Duration>
 {
     auto& loop = workers.front().loop;
     asio::signal_set signals (loop, SIGTERM, SIGINT);
     asio::steady_timer timer (loop);
     // After a notice this coroutine ends before the wait for a signal does: what the wait writes to must outlive both.
-    const auto isAsked = std::make_shared<bool> (false);
-    signals.async_wait ([isAsked] (boost::system::error_code error, int) { *isAsked = ! error; });
+    const auto isStopRequested = std::make_shared<bool> (false);
+    signals.async_wait ([isStopRequested] (boost::system::error_code error, int)
+                        { *isStopRequested = ! error; });
 
     for (;;)
     {
-        if (*isAsked)
+        if (*isStopRequested)
             co_return state.timeouts.drain;
 
         // A notice leaves seconds; what does not end in the first half of them is handed over in the second.
--- a/modules/snowrudder_router/Router.h
+++ b/modules/snowrudder_router/Router.h
@@ -33,12 +33,12 @@
 private:
     auto listen() -> std::error_code;
     auto startBackground() -> void;
-    auto stopWhenAsked() -> Task<void>;
+    auto stopOnRequest() -> Task<void>;
     /** Waits for a signal or a reclaim notice.
 
         @returns how long requests in flight may take to end by themselves
     */
-    auto waitForSign() -> Task<Duration>;
+    auto waitForStopRequest() -> Task<Duration>;
     auto waitUntilIdle (TimePoint end) -> Task<bool>;
 
     /** Destroyed last: sockets, timers and signals of the members below belong to its loops. */
--- a/modules/snowrudder_router/background/LoadWatcher.cpp
+++ b/modules/snowrudder_router/background/LoadWatcher.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-constexpr auto interval = 250ms;
-constexpr auto answerTime = 500ms;
-constexpr auto largestReport = std::size_t { 64 * 1024 };
+constexpr auto pollInterval = 250ms;
+constexpr auto pollTimeout = 500ms;
+constexpr auto maxReportBytes = std::size_t { 64 * 1024 };
 
-struct Watched
+struct WatchedReplica
 {
     ReplicaNumber number = 0;
     std::string endpoint;
@@ -37,11 +37,11 @@
     return report;
 }
 
-auto askReplica (RouterState& state, Worker& worker, Watched watched) -> Task<void>
+auto pollReplica (RouterState& state, Worker& worker, WatchedReplica watched) -> Task<void>
 {
-    const CallTimeouts timeouts { answerTime, answerTime, answerTime };
+    const CallTimeouts timeouts { pollTimeout, pollTimeout, pollTimeout };
     const auto answer = co_await callOnce (worker.pool, parseEndpoint (watched.endpoint),
-                                           makeRequest (http::verb::get, "/load"), timeouts, largestReport);
+                                           makeRequest (http::verb::get, "/load"), timeouts, maxReportBytes);
     const auto now = SteadyClock::now();
 
     if (answer.error == std::errc::connection_refused)
@@ -62,16 +62,16 @@
 
     for (;;)
     {
-        std::vector<Watched> watched;
+        std::vector<WatchedReplica> watched;
         state.replicas.forEach (
             [&] (const ReplicaState& replica) {
                 watched.push_back ({ replica.number, replica.info.endpoint });
             });
 
         for (auto& entry : watched)
-            asio::co_spawn (worker.loop, askReplica (state, worker, std::move (entry)), asio::detached);
+            asio::co_spawn (worker.loop, pollReplica (state, worker, std::move (entry)), asio::detached);
 
-        timer.expires_after (interval);
+        timer.expires_after (pollInterval);
         co_await timer.async_wait (asTuple);
     }
 }
--- a/modules/snowrudder_router/background/PlatformFollower.cpp
+++ b/modules/snowrudder_router/background/PlatformFollower.cpp
@@ -8,26 +8,26 @@
 namespace
 {
 
-constexpr auto watchTime = 10s;
-constexpr auto firstPause = 200ms;
-constexpr auto longestPause = 5s;
+constexpr auto watchTimeout = 10s;
+constexpr auto minBackOff = 200ms;
+constexpr auto maxBackOff = 5s;
 constexpr auto listInterval = 1s;
 
 /** Doubles a pause after each failure. */
-auto nextPause (Duration pause) -> Duration
+auto nextBackOff (Duration backOff) -> Duration
 {
-    return std::min<Duration> (pause * 2, longestPause);
+    return std::min<Duration> (backOff * 2, maxBackOff);
 }
 
 /** The VM list tells this router of its own VM's reclaim too. */
-auto noteOwnNotice (RouterState& state, const std::vector<Vm>& vms) -> void
+auto recordOwnNotice (RouterState& state, const std::vector<Vm>& vms) -> void
 {
     for (const auto& vm : vms)
         if (vm.name == state.settings.node().vm() && vm.leaving && ! state.reclaimNotice())
             state.noticeMilliseconds = vm.leavesIn.count();
 }
 
-auto toListed (const std::vector<Vm>& vms) -> std::vector<ListedReplica>
+auto toListedReplicas (const std::vector<Vm>& vms) -> std::vector<ListedReplica>
 {
     std::vector<ListedReplica> listed;
 
@@ -74,7 +74,7 @@
 auto followTree (RouterState& state, Worker& worker) -> Task<void>
 {
     PlatformClient platform (worker.pool, parseEndpoint (state.settings.platform()), state.metrics);
-    Duration pause = firstPause;
+    Duration backOff = minBackOff;
 
     for (;;)
     {
@@ -82,19 +82,20 @@
 
         if (! stored)
         {
-            co_await pauseFor (worker.loop, jittered (pause));
-            pause = nextPause (pause);
+            co_await pauseFor (worker.loop, jittered (backOff));
+            backOff = nextBackOff (backOff);
             continue;
         }
 
-        pause = firstPause;
+        backOff = minBackOff;
 
         adoptTree (state, stored->value, stored->version);
         const auto version = stored->version;
 
         for (;;)
         {
-            const auto newest = co_await platform.watch (treeStoreKey, version, watchTime, "settings_watch");
+            const auto newest =
+                co_await platform.watch (treeStoreKey, version, watchTimeout, "settings_watch");
 
             if (! newest || *newest > version)
                 break;
@@ -105,7 +106,7 @@
 auto followVmList (RouterState& state, Worker& worker) -> Task<void>
 {
     PlatformClient platform (worker.pool, parseEndpoint (state.settings.platform()), state.metrics);
-    Duration pause = firstPause;
+    Duration backOff = minBackOff;
 
     for (;;)
     {
@@ -118,14 +119,14 @@
 
         if (! vms)
         {
-            co_await pauseFor (worker.loop, jittered (pause));
-            pause = nextPause (pause);
+            co_await pauseFor (worker.loop, jittered (backOff));
+            backOff = nextBackOff (backOff);
             continue;
         }
 
-        pause = firstPause;
-        noteOwnNotice (state, *vms);
-        const auto listed = toListed (*vms);
+        backOff = minBackOff;
+        recordOwnNotice (state, *vms);
+        const auto listed = toListedReplicas (*vms);
         state.replicas.update (listed, SteadyClock::now());
         state.hasReplicas = ! listed.empty();
         co_await pauseFor (worker.loop, jittered (listInterval));
--- a/modules/snowrudder_router/background/Sweep.cpp
+++ b/modules/snowrudder_router/background/Sweep.cpp
@@ -8,43 +8,44 @@
 namespace
 {
 
-constexpr auto interval = 100ms;
+constexpr auto sweepInterval = 100ms;
 
 /** @returns the replicas that are listed and not leaving: looked up once for all open requests. The list is renewed on
     this same loop, so that no replica can be added while a sweep uses the result.
 */
-auto stayingReplicas (RouterState& state) -> std::set<ReplicaNumber>
+auto remainingReplicas (RouterState& state) -> std::set<ReplicaNumber>
 {
-    std::set<ReplicaNumber> staying;
+    std::set<ReplicaNumber> remaining;
 
     state.replicas.forEach (
         [&] (const ReplicaState& replica)
         {
             if (! replica.leavingSince)
-                staying.insert (replica.number);
+                remaining.insert (replica.number);
         });
 
-    return staying;
+    return remaining;
 }
 
 auto sweepRecord (RouterState& state,
                   RequestRecord& record,
-                  const std::set<ReplicaNumber>& staying,
+                  const std::set<ReplicaNumber>& remaining,
                   TimePoint now) -> void
 {
-    const auto& about = record.identity();
+    const auto& identity = record.identity();
     const auto abandoned = record.abandonedSince();
-    const auto isModelCall = ! about.model.empty();
+    const auto isModelCall = ! identity.model.empty();
 
-    if (now >= about.deadline)
+    if (now >= identity.deadline)
         record.interrupt (FailureCause::deadline);
     else if (isModelCall && abandoned && now - *abandoned >= state.timeouts.resume)
         record.interrupt (FailureCause::abandoned);
-    else if (const auto replica = record.currentReplica.load(); replica != 0 && ! staying.contains (replica))
+    else if (const auto replica = record.currentReplica.load();
+             replica != 0 && ! remaining.contains (replica))
         record.interrupt (FailureCause::moved);
 }
 
-auto setWindows (RouterState& state, TimePoint now) -> void
+auto setQueueCapacities (RouterState& state, TimePoint now) -> void
 {
     for (const auto& [name, service] : state.fleet()->services())
     {
@@ -87,12 +88,12 @@
         const auto now = SteadyClock::now();
 
         const auto open = state.requests.open();
-        const auto staying = stayingReplicas (state);
+        const auto remaining = remainingReplicas (state);
 
         for (const auto& record : open)
-            sweepRecord (state, *record, staying, now);
+            sweepRecord (state, *record, remaining, now);
 
-        setWindows (state, now);
+        setQueueCapacities (state, now);
         countReplicas (state, now);
         state.requests.dropOld (now);
         state.crashes.lookAgain (worker.probes, now);
@@ -101,7 +102,7 @@
         state.counts.openRequests.set (static_cast<std::int64_t> (state.requests.openCount()));
         state.counts.keptBytes.set (static_cast<std::int64_t> (state.requests.keptBytes()));
 
-        timer.expires_after (interval);
+        timer.expires_after (sweepInterval);
         co_await timer.async_wait (asTuple);
     }
 }
--- a/modules/snowrudder_router/gateway/CallerScope.cpp
+++ b/modules/snowrudder_router/gateway/CallerScope.cpp
@@ -12,7 +12,7 @@
     co_await exchange.respond (problemResponse (problem, requestId));
 }
 
-auto rejectionAnswer (RouterState& state, ErrorKind kind) -> HttpResponse
+auto rejectionResponse (RouterState& state, ErrorKind kind) -> HttpResponse
 {
     state.counts.countError (kind);
     return problemResponse (makeProblem (kind), "");
@@ -33,14 +33,14 @@
     return toString (*uuid);
 }
 
-AdmittedRequest::AdmittedRequest (RouterState& routerState,
-                                  const AccountView& accountView,
-                                  std::optional<Problem>& problem)
+AccountAdmission::AccountAdmission (RouterState& routerState,
+                                    const AccountView& accountView,
+                                    std::optional<Problem>& problem)
     : state (routerState), account (accountView.name)
 {
     const AccountLimits limits { accountView.requestsPerSecond, accountView.concurrentRequests };
-    constexpr auto wholeShare = 1.0;
-    const auto admission = state.accounts.admit (account, limits, wholeShare, SteadyClock::now());
+    constexpr auto fullShare = 1.0;
+    const auto admission = state.accounts.admit (account, limits, fullShare, SteadyClock::now());
     admitted = admission.admitted;
 
     if (admitted)
@@ -50,13 +50,13 @@
     problem->retryAfter = admission.retryAfter;
 }
 
-AdmittedRequest::~AdmittedRequest()
+AccountAdmission::~AccountAdmission()
 {
     if (admitted)
         state.accounts.leave (account);
 }
 
-auto stoppedAtOnce (RouterState& state, const RequestFingerprint& fingerprint, std::string_view requestId)
+auto checkCrashVerdict (RouterState& state, const RequestFingerprint& fingerprint, std::string_view requestId)
     -> std::optional<Problem>
 {
     const auto now = SteadyClock::now();
@@ -70,17 +70,17 @@
     return problemWhenStopped (mayHaveRun);
 }
 
-auto problemOf (const ServiceQueues::Place& place) -> Problem
+auto overloadProblem (const ServiceQueues::Place& permit) -> Problem
 {
     auto problem = makeProblem (ErrorKind::overloaded);
-    problem.retryAfter = place.retryAfter;
+    problem.retryAfter = permit.retryAfter;
     return problem;
 }
 
-auto logDecision (std::string_view requestId,
-                  std::string_view account,
-                  const TakenReplica& taken,
-                  std::uint32_t attempt) -> void
+auto logRoutingDecision (std::string_view requestId,
+                         std::string_view account,
+                         const TakenReplica& taken,
+                         std::uint32_t attempt) -> void
 {
     if (! isLogged (LogLevel::info))
         return;
@@ -108,15 +108,15 @@
         .info();
 }
 
-auto turnDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint
+auto queueDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint
 {
     // The latency target of 1.6 s to the first token leaves this much for the queue (letter 1).
-    constexpr auto usualWait = std::chrono::milliseconds (1200);
+    constexpr auto defaultMaxWait = std::chrono::milliseconds (1200);
     const auto& settings = service.settings;
-    const auto longest = settings.has_longest_wait_milliseconds()
+    const auto maxWait = settings.has_longest_wait_milliseconds()
                              ? std::chrono::milliseconds (settings.longest_wait_milliseconds())
-                             : usualWait;
-    return std::min (now + longest, deadline);
+                             : defaultMaxWait;
+    return std::min (now + maxWait, deadline);
 }
 
 auto choiceWeights (const ServiceView& service) -> ChoiceWeights
--- a/modules/snowrudder_router/gateway/CallerScope.h
+++ b/modules/snowrudder_router/gateway/CallerScope.h
@@ -28,7 +28,7 @@
                      std::string_view requestId) -> Task<void>;
 
 /** @returns the same answer for what never became a request. */
-auto rejectionAnswer (RouterState& state, ErrorKind kind) -> HttpResponse;
+auto rejectionResponse (RouterState& state, ErrorKind kind) -> HttpResponse;
 
 /** Reads `Idempotency-Key`: empty where the caller gave none.
 
@@ -37,17 +37,17 @@
 auto readIdempotencyKey (const Exchange& exchange) -> std::variant<std::string, Problem>;
 
 /** Counts an account's request in, and out again at its end. */
-class AdmittedRequest
+class AccountAdmission
 {
 public:
     /** @param problem  set when the account's limits don't allow the request */
-    AdmittedRequest (RouterState& routerState,
-                     const AccountView& accountView,
-                     std::optional<Problem>& problem);
-    ~AdmittedRequest();
+    AccountAdmission (RouterState& routerState,
+                      const AccountView& accountView,
+                      std::optional<Problem>& problem);
+    ~AccountAdmission();
 
-    AdmittedRequest (const AdmittedRequest&) = delete;
-    auto operator= (const AdmittedRequest&) -> AdmittedRequest& = delete;
+    AccountAdmission (const AccountAdmission&) = delete;
+    auto operator= (const AccountAdmission&) -> AccountAdmission& = delete;
 
 private:
     RouterState& state;
@@ -56,23 +56,23 @@
 };
 
 /** @returns why a request is refused as it comes, where it ended the replicas that ran it. */
-auto stoppedAtOnce (RouterState& state, const RequestFingerprint& fingerprint, std::string_view requestId)
+auto checkCrashVerdict (RouterState& state, const RequestFingerprint& fingerprint, std::string_view requestId)
     -> std::optional<Problem>;
 
 /** @returns a problem for a request that got no place in the queue. */
-auto problemOf (const ServiceQueues::Place& place) -> Problem;
+auto overloadProblem (const ServiceQueues::Place& permit) -> Problem;
 
 /** Writes the log line of a routing decision. */
-auto logDecision (std::string_view requestId,
-                  std::string_view account,
-                  const TakenReplica& taken,
-                  std::uint32_t attempt) -> void;
+auto logRoutingDecision (std::string_view requestId,
+                         std::string_view account,
+                         const TakenReplica& taken,
+                         std::uint32_t attempt) -> void;
 
 /** @returns until when a request may wait for its turn before a service's upstreams.
 
     @param deadline  of the whole request
 */
-auto turnDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint;
+auto queueDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint;
 
 /** @returns the weights of a service's choices, from its settings. */
 auto choiceWeights (const ServiceView& service) -> ChoiceWeights;
--- a/modules/snowrudder_router/model/ChatHandler.cpp
+++ b/modules/snowrudder_router/model/ChatHandler.cpp
@@ -12,14 +12,15 @@
 {
 
 /** What a chat request turned out to ask for. */
-struct WantedChat
+struct ResolvedChat
 {
     ChatRequest request;
     std::shared_ptr<const ServiceView> service;
     std::string key;
 };
 
-auto readWanted (const Exchange& exchange, const CallerScope& scope) -> std::variant<WantedChat, Problem>
+auto resolveRequest (const Exchange& exchange, const CallerScope& scope)
+    -> std::variant<ResolvedChat, Problem>
 {
     auto parsed = parseChatRequest (exchange.request().body());
 
@@ -31,30 +32,30 @@
     if (auto* problem = std::get_if<Problem> (&key))
         return std::move (*problem);
 
-    WantedChat wanted;
-    wanted.request = std::get<ChatRequest> (std::move (parsed));
-    wanted.key = std::get<std::string> (std::move (key));
-    wanted.service = scope.fleet->serviceForModel (wanted.request.model);
+    ResolvedChat resolved;
+    resolved.request = std::get<ChatRequest> (std::move (parsed));
+    resolved.key = std::get<std::string> (std::move (key));
+    resolved.service = scope.fleet->serviceForModel (resolved.request.model);
 
-    if (! wanted.service)
-        return makeProblem (ErrorKind::unknownModel, "model \"" + wanted.request.model + "\"");
+    if (! resolved.service)
+        return makeProblem (ErrorKind::unknownModel, "model \"" + resolved.request.model + "\"");
 
-    if (! scope.account->services.contains (wanted.service->name))
-        return makeProblem (ErrorKind::forbidden, "service \"" + wanted.service->name + "\"");
+    if (! scope.account->services.contains (resolved.service->name))
+        return makeProblem (ErrorKind::forbidden, "service \"" + resolved.service->name + "\"");
 
-    return wanted;
+    return resolved;
 }
 
-auto makeRecord (const CallerScope& scope, const WantedChat& wanted, const Exchange& exchange)
+auto makeRecord (const CallerScope& scope, const ResolvedChat& resolved, const Exchange& exchange)
     -> std::shared_ptr<RequestRecord>
 {
     RequestIdentity identity;
     identity.id = scope.id;
     identity.account = scope.account->name;
-    identity.service = wanted.service->name;
-    identity.model = wanted.request.model;
-    identity.stream = wanted.request.stream;
-    identity.includeUsage = wanted.request.includeUsage;
+    identity.service = resolved.service->name;
+    identity.model = resolved.request.model;
+    identity.stream = resolved.request.stream;
+    identity.includeUsage = resolved.request.includeUsage;
     identity.accepted = SteadyClock::now();
     identity.deadline = identity.accepted + scope.account->deadline;
     identity.created = std::chrono::floor<std::chrono::seconds> (wallTimeNow());
@@ -66,41 +67,41 @@
 
 auto handleChat (RouterState& state, Worker& worker, Exchange& exchange, CallerScope scope) -> Task<void>
 {
-    auto read = readWanted (exchange, scope);
+    auto resolution = resolveRequest (exchange, scope);
 
-    if (const auto* problem = std::get_if<Problem> (&read))
+    if (const auto* problem = std::get_if<Problem> (&resolution))
     {
         co_await respondProblem (state, exchange, *problem, toString (scope.id));
         co_return;
     }
 
-    auto& wanted = std::get<WantedChat> (read);
-    std::optional<Problem> notAdmitted;
-    auto admitted = std::make_shared<AdmittedRequest> (state, *scope.account, notAdmitted);
+    auto& resolved = std::get<ResolvedChat> (resolution);
+    std::optional<Problem> admissionProblem;
+    auto admitted = std::make_shared<AccountAdmission> (state, *scope.account, admissionProblem);
 
-    if (notAdmitted)
+    if (admissionProblem)
     {
-        co_await respondProblem (state, exchange, *notAdmitted, toString (scope.id));
+        co_await respondProblem (state, exchange, *admissionProblem, toString (scope.id));
         co_return;
     }
 
-    const auto record = makeRecord (scope, wanted, exchange);
+    const auto record = makeRecord (scope, resolved, exchange);
 
     // Made before the record can be found: it keeps the caller's request, without which a leaving router hands nothing over.
-    const auto run = std::make_shared<ModelRun> (state, worker, record, std::move (wanted.request),
-                                                 scope.account, std::move (wanted.service));
+    const auto run = std::make_shared<ModelRun> (state, worker, record, std::move (resolved.request),
+                                                 scope.account, std::move (resolved.service));
 
-    const auto stopped = wanted.key.empty()
-                             ? stoppedAtOnce (state, run->requestFingerprint(), toString (scope.id))
+    const auto refusal = resolved.key.empty()
+                             ? checkCrashVerdict (state, run->requestFingerprint(), toString (scope.id))
                              : std::nullopt;
 
-    if (stopped)
+    if (refusal)
     {
-        co_await respondProblem (state, exchange, *stopped, toString (scope.id));
+        co_await respondProblem (state, exchange, *refusal, toString (scope.id));
         co_return;
     }
 
-    if (const auto earlier = state.requests.add (record, wanted.key))
+    if (const auto earlier = state.requests.add (record, resolved.key))
     {
         admitted.reset();
 
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -9,17 +9,17 @@
 {
 
 /** An engine faster than this has its tokens passed on a few at a time: each read and write is a system call. */
-constexpr auto shortestReadGap = 4ms;
+constexpr auto minReadInterval = 4ms;
 
 constexpr auto chatTarget = std::string_view ("/v1/chat/completions");
-constexpr auto longestEvent = std::size_t { 1024 * 1024 };
+constexpr auto maxEventBytes = std::size_t { 1024 * 1024 };
 constexpr auto cacheMoveTimeout = 500ms;
-constexpr auto largestCacheList = std::size_t { 4 * 1024 * 1024 };
+constexpr auto maxCacheListBytes = std::size_t { 4 * 1024 * 1024 };
 
 /** @returns an engine's own words in an error body, shortened. */
 auto upstreamMessage (const std::string& body) -> std::string
 {
-    constexpr auto longest = std::size_t { 200 };
+    constexpr auto maxLength = std::size_t { 200 };
     boost::system::error_code error;
     const auto value = json::parse (body, error);
 
@@ -34,7 +34,7 @@
     if (text == nullptr || ! text->is_string())
         return "the engine refused the request";
 
-    return std::string (text->get_string()).substr (0, longest);
+    return std::string (text->get_string()).substr (0, maxLength);
 }
 
 } // namespace
@@ -49,7 +49,7 @@
       request (std::make_shared<const ChatRequest> (std::move (chatRequest))),
       account (std::move (accountView)), service (std::move (serviceView)),
       idText (toString (record->identity().id)),
-      signal (std::make_shared<Signal> (worker.loop.get_executor())), pacer (worker.loop)
+      signal (std::make_shared<Signal> (worker.loop.get_executor())), readTimer (worker.loop)
 {
     const auto prompt = promptText (request->body);
     blocks = promptBlocks (prompt, account->name);
@@ -61,13 +61,13 @@
     record->keepRequest (request);
 }
 
-auto ModelRun::goOnFrom (const Usage& first, std::uint32_t answerTokens) -> void
+auto ModelRun::continueFrom (const Usage& first, std::uint32_t answerTokens) -> void
 {
     firstUsage = first;
-    earlierTokens = answerTokens;
+    previousTokens = answerTokens;
 }
 
-auto ModelRun::start (std::shared_ptr<AdmittedRequest> admitted) -> void
+auto ModelRun::start (std::shared_ptr<AccountAdmission> admitted) -> void
 {
     record->setRunSignal (signal);
     record->setInterrupt (
@@ -86,30 +86,30 @@
         asio::detached);
 }
 
-auto ModelRun::run (std::shared_ptr<AdmittedRequest> /* held until the end */) -> Task<void>
+auto ModelRun::run (std::shared_ptr<AccountAdmission> /* held until the end */) -> Task<void>
 {
     state.retryBudgets.earn (account->name, service->name, account->retryPercent);
 
-    QueuedRequest wanted;
-    wanted.account = account->name;
-    wanted.weight = account->weight;
-    wanted.cost = promptTokens + std::max (1.0, static_cast<double> (request->maxTokens));
-    wanted.deadline = turnDeadline (*service, SteadyClock::now(), record->identity().deadline);
+    QueuedRequest queued;
+    queued.account = account->name;
+    queued.weight = account->weight;
+    queued.cost = promptTokens + std::max (1.0, static_cast<double> (request->maxTokens));
+    queued.deadline = queueDeadline (*service, SteadyClock::now(), record->identity().deadline);
 
-    constexpr auto usualQueue = std::uint32_t { 256 };
-    const auto mostQueued =
-        service->settings.has_queue_limit() ? service->settings.queue_limit() : usualQueue;
-    const auto place =
-        co_await state.queues.enter (service->name, wanted, mostQueued, worker.loop.get_executor());
+    constexpr auto defaultQueueLimit = std::uint32_t { 256 };
+    const auto queueLimit =
+        service->settings.has_queue_limit() ? service->settings.queue_limit() : defaultQueueLimit;
+    const auto permit =
+        co_await state.queues.enter (service->name, queued, queueLimit, worker.loop.get_executor());
 
-    if (place.granted)
+    if (permit.granted)
     {
         const PlaceGuard guard (state.queues, service->name, account->name);
         co_await runAttempts();
     }
     else
     {
-        record->fail (problemOf (place));
+        record->fail (overloadProblem (permit));
     }
 
     record->currentReplica = 0;
@@ -125,12 +125,12 @@
         if (! outcome)
             co_return;
 
-        const auto after = co_await replicaAfter (*outcome);
-        const auto decision = afterFailure (*outcome);
+        const auto addressState = co_await examineReplica (*outcome);
+        const auto decision = decideRetry (*outcome);
 
         attemptFailed (idText, attempts, *outcome, decision)
             .with ("replica", lastReplica.name)
-            .with ("replica_address", after)
+            .with ("replica_address", addressState)
             .with ("fingerprint", toString (fingerprint))
             .info();
 
@@ -179,14 +179,14 @@
         co_return AttemptOutcome { CallStage::planned, FailureCause::noReplica };
     }
 
-    logDecision (idText, account->name, *taken, attempts);
+    logRoutingDecision (idText, account->name, *taken, attempts);
     auto ticket = taken->ticket;
     tried.push_back (ticket.number);
-    lastNumber = ticket.number;
+    lastReplicaNumber = ticket.number;
     lastReplica = ticket.info;
     record->currentReplica = ticket.number;
     attemptTokens = 0;
-    usageSeen = false;
+    isUsageReceived = false;
 
     if (! exportedCache.empty())
         co_await importCache (ticket.info);
@@ -201,7 +201,7 @@
 
     state.replicas.release (ticket, outcome ? healthOf (*outcome) : AttemptHealth::good, SteadyClock::now());
 
-    earlierTokens += attemptTokens;
+    previousTokens += attemptTokens;
     attemptTokens = 0;
     co_return outcome;
 }
@@ -213,51 +213,52 @@
         [this] { return interruptCause.has_value() || SteadyClock::now() >= record->identity().deadline; });
 }
 
-auto ModelRun::replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>
+auto ModelRun::examineReplica (const AttemptOutcome& outcome) -> Task<std::string_view>
 {
     if (! mayShowCrash (outcome))
         co_return "not_asked";
 
-    WatchedAttempt ended { fingerprint, idText, account->name, lastNumber, lastReplica, SteadyClock::now() };
+    WatchedAttempt ended { fingerprint,       idText,      account->name,
+                           lastReplicaNumber, lastReplica, SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
 
 auto ModelRun::callReplica (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Outcome>
 {
     if (interruptCause)
-        co_return AttemptOutcome { call.stage(), causeOr (FailureCause::cut) };
+        co_return AttemptOutcome { call.stage(), interruptCauseOr (FailureCause::cut) };
 
     const auto mayReuse = true;
 
     if (co_await call.connect (mayReuse))
-        co_return AttemptOutcome { call.stage(), causeOr (FailureCause::connectFailed) };
+        co_return AttemptOutcome { call.stage(), interruptCauseOr (FailureCause::connectFailed) };
 
-    const auto wanted = engineRequest();
+    const auto httpRequest = engineRequest();
 
-    if (const auto error = co_await call.sendAndReadHeader (wanted))
-        co_return AttemptOutcome { call.stage(), causeOr (failureOf (error)) };
+    if (const auto error = co_await call.sendAndReadHeader (httpRequest))
+        co_return AttemptOutcome { call.stage(), interruptCauseOr (failureOf (error)) };
 
     if (call.status() != static_cast<unsigned> (http::status::ok))
-        co_return co_await takeRefusal (call);
+        co_return co_await readRefusal (call);
 
     co_return co_await relayStream (call, ticket);
 }
 
-auto ModelRun::takeRefusal (UpstreamCall& call) -> Task<Outcome>
+auto ModelRun::readRefusal (UpstreamCall& call) -> Task<Outcome>
 {
-    constexpr auto longestBody = std::size_t { 64 * 1024 };
+    constexpr auto maxBodyBytes = std::size_t { 64 * 1024 };
     std::string body;
-    co_await call.readRest (body, longestBody);
+    co_await call.readRest (body, maxBodyBytes);
 
     const auto status = call.status();
     const auto isBusy = status == 429 || status == 503;
-    const auto isRequestsFault = status >= 400 && status < 500 && ! isBusy;
+    const auto isClientError = status >= 400 && status < 500 && ! isBusy;
 
-    if (isRequestsFault)
+    if (isClientError)
         upstreamProblem = makeProblem (ErrorKind::invalidRequest, upstreamMessage (body));
 
     co_return AttemptOutcome { call.stage(),
-                               isBusy || isRequestsFault ? FailureCause::refused : FailureCause::failed };
+                               isBusy || isClientError ? FailureCause::refused : FailureCause::failed };
 }
 
 auto ModelRun::relayStream (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Outcome>
@@ -267,11 +268,11 @@
 
     while (! call.isDone())
     {
-        co_await waitForRoom();
-        co_await waitForPace();
+        co_await applyBackpressure();
+        co_await waitForReadInterval();
 
         if (const auto error = co_await call.readSome (piece))
-            co_return AttemptOutcome { call.stage(), causeOr (failureOf (error)) };
+            co_return AttemptOutcome { call.stage(), interruptCauseOr (failureOf (error)) };
 
         lastRead = SteadyClock::now();
 
@@ -286,30 +287,30 @@
 
             if (std::holds_alternative<StreamEnd> (*event))
             {
-                auto outcome = takeEvent (std::move (*event), ticket);
+                auto outcome = processEvent (std::move (*event), ticket);
 
                 // The engine's last bytes are read too, so that the connection can be used again.
                 std::string rest;
-                co_await call.readRest (rest, longestEvent);
+                co_await call.readRest (rest, maxEventBytes);
                 co_return outcome;
             }
 
-            if (auto outcome = takeEvent (std::move (*event), ticket))
+            if (auto outcome = processEvent (std::move (*event), ticket))
                 co_return outcome;
         }
 
-        if (events.pendingBytes() > longestEvent)
+        if (events.pendingBytes() > maxEventBytes)
             co_return AttemptOutcome { call.stage(), FailureCause::invalid };
     }
 
     co_return AttemptOutcome { call.stage(), FailureCause::cut };
 }
 
-auto ModelRun::takeEvent (ChatEvent event, ReplicaTicket& ticket) -> Outcome
+auto ModelRun::processEvent (ChatEvent event, ReplicaTicket& ticket) -> Outcome
 {
     if (const auto* chunk = std::get_if<ChatChunk> (&event))
     {
-        takeChunk (*chunk, ticket);
+        processChunk (*chunk, ticket);
         return {};
     }
 
@@ -318,13 +319,13 @@
         return AttemptOutcome { CallStage::answering, FailureCause::failed };
 
     auto usage = firstUsage.value_or (Usage {});
-    usage.completionTokens = earlierTokens + attemptTokens;
+    usage.completionTokens = previousTokens + attemptTokens;
     record->finish (finishReason, usage);
     state.crashes.table().noteSuccess (fingerprint, SteadyClock::now());
     return {};
 }
 
-auto ModelRun::takeChunk (const ChatChunk& chunk, ReplicaTicket& ticket) -> void
+auto ModelRun::processChunk (const ChatChunk& chunk, ReplicaTicket& ticket) -> void
 {
     const auto now = SteadyClock::now();
 
@@ -338,24 +339,24 @@
         lastToken = now;
         state.counts.relayedTokens.add();
 
-        if (! usageSeen)
+        if (! isUsageReceived)
             ++attemptTokens;
 
         record->append (chunk);
     }
 
     if (chunk.usage)
-        takeUsage (*chunk.usage, ticket);
+        processUsage (*chunk.usage, ticket);
 
     if (! chunk.finishReason.empty())
         finishReason = chunk.finishReason;
 }
 
-auto ModelRun::takeUsage (const Usage& usage, ReplicaTicket& ticket) -> void
+auto ModelRun::processUsage (const Usage& usage, ReplicaTicket& ticket) -> void
 {
-    if (! usageSeen)
+    if (! isUsageReceived)
     {
-        usageSeen = true;
+        isUsageReceived = true;
         const auto computed = usage.promptTokens - std::min (usage.cachedTokens, usage.promptTokens);
         state.counts.computedPromptTokens.add (computed);
         state.counts.cachedPromptTokens.add (usage.cachedTokens);
@@ -366,23 +367,23 @@
         firstUsage = usage;
 
     attemptTokens = usage.completionTokens;
-    record->noteUsage (*firstUsage, earlierTokens + attemptTokens);
+    record->noteUsage (*firstUsage, previousTokens + attemptTokens);
 }
 
-auto ModelRun::waitForRoom() -> Task<void>
+auto ModelRun::applyBackpressure() -> Task<void>
 {
     while (record->isAhead() && ! interruptCause)
         co_await signal->wait (SteadyClock::now() + 1s);
 }
 
-auto ModelRun::waitForPace() -> Task<void>
+auto ModelRun::waitForReadInterval() -> Task<void>
 {
-    const auto next = lastRead + shortestReadGap;
+    const auto next = lastRead + minReadInterval;
 
     if (SteadyClock::now() < next)
     {
-        pacer.expires_at (next);
-        co_await pacer.async_wait (asTuple);
+        readTimer.expires_at (next);
+        co_await readTimer.async_wait (asTuple);
     }
 }
 
@@ -390,10 +391,10 @@
 {
     CallTimeouts timeouts { cacheMoveTimeout, cacheMoveTimeout, cacheMoveTimeout };
     json::object body;
-    body["request_id"] = attemptName();
+    body["request_id"] = attemptId();
     auto call = makeRequest (http::verb::post, "/kv/export", json::serialize (body));
     auto answer = co_await callOnce (worker.pool, parseEndpoint (replica.endpoint), std::move (call),
-                                     timeouts, largestCacheList);
+                                     timeouts, maxCacheListBytes);
     exportedCache = answer.isGood() ? std::move (answer.body) : std::string();
 }
 
@@ -404,7 +405,7 @@
     co_await callOnce (worker.pool, parseEndpoint (replica.endpoint), std::move (call), timeouts);
 }
 
-auto ModelRun::afterFailure (const AttemptOutcome& outcome) -> RetryDecision
+auto ModelRun::decideRetry (const AttemptOutcome& outcome) -> RetryDecision
 {
     if (outcome.cause != FailureCause::moved)
         noteFailed (failures, outcome);
@@ -468,9 +469,9 @@
 
 auto ModelRun::engineRequest() const -> HttpRequest
 {
-    auto body = engineRequestBody (*request, enginePriority(), account->name, record->text(), earlierTokens);
+    auto body = engineRequestBody (*request, enginePriority(), account->name, record->text(), previousTokens);
     auto call = makeRequest (http::verb::post, chatTarget, std::move (body));
-    call.set ("X-Request-Id", attemptName());
+    call.set ("X-Request-Id", attemptId());
     return call;
 }
 
@@ -481,12 +482,12 @@
     return account->priority + (isOverShare ? overShare : 0);
 }
 
-auto ModelRun::attemptName() const -> std::string
+auto ModelRun::attemptId() const -> std::string
 {
     return idText + "-" + std::to_string (attempts);
 }
 
-auto ModelRun::causeOr (FailureCause cause) const -> FailureCause
+auto ModelRun::interruptCauseOr (FailureCause cause) const -> FailureCause
 {
     return interruptCause.value_or (cause);
 }
--- a/modules/snowrudder_router/model/ModelRun.h
+++ b/modules/snowrudder_router/model/ModelRun.h
@@ -33,41 +33,41 @@
         @param first         the first attempt's counts
         @param answerTokens  tokens that the record holds already
     */
-    auto goOnFrom (const Usage& first, std::uint32_t answerTokens) -> void;
+    auto continueFrom (const Usage& first, std::uint32_t answerTokens) -> void;
 
     /** Starts the run on the worker's loop; it ends by itself, the record finished or failed.
 
         @param admitted  the account's admission, held for as long as the run lasts
     */
-    auto start (std::shared_ptr<AdmittedRequest> admitted) -> void;
+    auto start (std::shared_ptr<AccountAdmission> admitted) -> void;
 
     [[nodiscard]] auto requestFingerprint() const -> const RequestFingerprint& { return fingerprint; }
 
 private:
     using Outcome = std::optional<AttemptOutcome>;
 
-    auto run (std::shared_ptr<AdmittedRequest> admitted) -> Task<void>;
+    auto run (std::shared_ptr<AccountAdmission> admitted) -> Task<void>;
     auto runAttempts() -> Task<void>;
     auto attempt() -> Task<Outcome>;
     auto waitForVerdict() -> Task<CrashJudgement>;
-    auto replicaAfter (const AttemptOutcome& outcome) -> Task<std::string_view>;
+    auto examineReplica (const AttemptOutcome& outcome) -> Task<std::string_view>;
     auto callReplica (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Outcome>;
-    auto takeRefusal (UpstreamCall& call) -> Task<Outcome>;
+    auto readRefusal (UpstreamCall& call) -> Task<Outcome>;
     auto relayStream (UpstreamCall& call, ReplicaTicket& ticket) -> Task<Outcome>;
-    auto takeEvent (ChatEvent event, ReplicaTicket& ticket) -> Outcome;
-    auto takeChunk (const ChatChunk& chunk, ReplicaTicket& ticket) -> void;
-    auto takeUsage (const Usage& usage, ReplicaTicket& ticket) -> void;
-    auto waitForRoom() -> Task<void>;
-    auto waitForPace() -> Task<void>;
+    auto processEvent (ChatEvent event, ReplicaTicket& ticket) -> Outcome;
+    auto processChunk (const ChatChunk& chunk, ReplicaTicket& ticket) -> void;
+    auto processUsage (const Usage& usage, ReplicaTicket& ticket) -> void;
+    auto applyBackpressure() -> Task<void>;
+    auto waitForReadInterval() -> Task<void>;
     auto exportCache (const ReplicaInfo& replica) -> Task<void>;
     auto importCache (const ReplicaInfo& replica) -> Task<void>;
-    auto afterFailure (const AttemptOutcome& outcome) -> RetryDecision;
+    auto decideRetry (const AttemptOutcome& outcome) -> RetryDecision;
     auto fail (const AttemptOutcome& outcome, const RetryDecision& decision) -> void;
     auto onInterrupt (FailureCause cause) -> void;
     auto engineRequest() const -> HttpRequest;
     auto enginePriority() const -> std::uint32_t;
-    auto attemptName() const -> std::string;
-    auto causeOr (FailureCause cause) const -> FailureCause;
+    auto attemptId() const -> std::string;
+    auto interruptCauseOr (FailureCause cause) const -> FailureCause;
 
     RouterState& state;
     Worker& worker;
@@ -88,10 +88,10 @@
     bool isOverShare = false;
 
     /** Answer tokens from earlier attempts, and from the one in progress. */
-    std::uint32_t earlierTokens = 0;
+    std::uint32_t previousTokens = 0;
     std::uint32_t attemptTokens = 0;
     std::optional<Usage> firstUsage;
-    bool usageSeen = false;
+    bool isUsageReceived = false;
     std::string finishReason;
     TimePoint lastToken {};
 
@@ -99,14 +99,14 @@
     std::string exportedCache;
 
     /** The replica of the present attempt. */
-    ReplicaNumber lastNumber = 0;
+    ReplicaNumber lastReplicaNumber = 0;
     ReplicaInfo lastReplica;
     UpstreamCall* currentCall = nullptr;
     std::optional<FailureCause> interruptCause;
     /** An upstream's own words on a request that it can't take. */
     std::optional<Problem> upstreamProblem;
     std::shared_ptr<Signal> signal;
-    asio::steady_timer pacer;
+    asio::steady_timer readTimer;
     TimePoint lastRead {};
 };
 
--- a/modules/snowrudder_router/model/RecordRelay.cpp
+++ b/modules/snowrudder_router/model/RecordRelay.cpp
@@ -7,29 +7,29 @@
 {
 
 /** A comment line this often keeps quiet streams open through the platform's balancer. */
-constexpr auto quietTime = 15s;
+constexpr auto keepAliveInterval = 15s;
 
 /** Counts a reader in and out. */
-class Reader
+class ReaderRegistration
 {
 public:
-    Reader (RequestRecord& requestRecord, const std::shared_ptr<Signal>& readerSignal)
+    ReaderRegistration (RequestRecord& requestRecord, const std::shared_ptr<Signal>& readerSignal)
         : record (requestRecord), signal (readerSignal)
     {
         record.addReader (signal);
     }
 
-    ~Reader() { record.removeReader (signal, SteadyClock::now()); }
+    ~ReaderRegistration() { record.removeReader (signal, SteadyClock::now()); }
 
-    Reader (const Reader&) = delete;
-    auto operator= (const Reader&) -> Reader& = delete;
+    ReaderRegistration (const ReaderRegistration&) = delete;
+    auto operator= (const ReaderRegistration&) -> ReaderRegistration& = delete;
 
 private:
     RequestRecord& record;
     std::shared_ptr<Signal> signal;
 };
 
-auto beginEvents (Exchange& exchange, const std::string& id) -> Task<std::error_code>
+auto beginEventStream (Exchange& exchange, const std::string& id) -> Task<std::error_code>
 {
     http::response<http::empty_body> header (http::status::ok, 11);
     header.set (http::field::content_type, "text/event-stream");
@@ -67,7 +67,7 @@
 
         if (events.empty())
         {
-            const auto wasNotified = co_await signal.wait (SteadyClock::now() + quietTime);
+            const auto wasNotified = co_await signal.wait (SteadyClock::now() + keepAliveInterval);
 
             if (exchange.callerGone())
                 co_return;
@@ -78,7 +78,7 @@
             events = ": waiting\n\n";
         }
 
-        if (! exchange.hasBegun() && co_await beginEvents (exchange, id))
+        if (! exchange.hasBegun() && co_await beginEventStream (exchange, id))
             co_return;
 
         if (co_await exchange.writePiece (events))
@@ -101,7 +101,7 @@
 {
     while (record.state() == RecordState::open)
     {
-        co_await signal.wait (SteadyClock::now() + quietTime);
+        co_await signal.wait (SteadyClock::now() + keepAliveInterval);
 
         if (exchange.callerGone())
             co_return;
@@ -142,7 +142,7 @@
                   std::size_t after) -> Task<void>
 {
     const auto signal = std::make_shared<Signal> (exchange.executor());
-    const Reader reader (*record, signal);
+    const ReaderRegistration registration (*record, signal);
     exchange.watchCaller ([signal] { signal->notify(); });
 
     if (record->identity().stream)
--- a/modules/snowrudder_router/model/RequestHandover.cpp
+++ b/modules/snowrudder_router/model/RequestHandover.cpp
@@ -10,21 +10,21 @@
 namespace
 {
 
-constexpr auto handTime = 1s;
+constexpr auto handoverTimeout = 1s;
 
 auto toMessage (const HandedState& handed) -> schema::HandedRequest
 {
-    const auto& about = handed.identity;
+    const auto& identity = handed.identity;
     const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds> (about.deadline - SteadyClock::now());
+        std::chrono::duration_cast<std::chrono::milliseconds> (identity.deadline - SteadyClock::now());
 
     schema::HandedRequest message;
-    message.set_request_id (toString (about.id));
-    message.set_account (about.account);
-    message.set_service (about.service);
+    message.set_request_id (toString (identity.id));
+    message.set_account (identity.account);
+    message.set_service (identity.service);
     message.set_body (handed.body);
-    message.set_content_hash (about.contentHash);
-    message.set_created_seconds (static_cast<std::uint64_t> (about.created.time_since_epoch().count()));
+    message.set_content_hash (identity.contentHash);
+    message.set_created_seconds (static_cast<std::uint64_t> (identity.created.time_since_epoch().count()));
     message.set_milliseconds_left (static_cast<std::uint32_t> (std::max<std::int64_t> (0, left.count())));
     message.set_text (handed.answer.text());
     message.set_answer_tokens (handed.answerTokens);
@@ -47,17 +47,19 @@
 
     @returns the heir that took it, or an empty text
 */
-auto offer (RouterState& state, Worker& worker, RequestId id, const schema::HandedRequest& message)
-    -> Task<std::string>
+auto offerToSuccessors (RouterState& state,
+                        Worker& worker,
+                        RequestId id,
+                        const schema::HandedRequest& message) -> Task<std::string>
 {
-    for (const auto* heir : heirsOf (state, id))
+    for (const auto* successor : successorsOf (state, id))
     {
         auto request = makeRequest (http::verb::post, "/internal/request", message.SerializeAsString());
-        const auto answer = co_await callPeer (state, worker, heir->endpoint(), std::move (request),
-                                               { handTime, handTime, handTime });
+        const auto answer = co_await callPeer (state, worker, successor->endpoint(), std::move (request),
+                                               { handoverTimeout, handoverTimeout, handoverTimeout });
 
         if (answer.isGood())
-            co_return heir->name();
+            co_return successor->name();
     }
 
     co_return std::string();
@@ -70,14 +72,15 @@
     if (! handed)
         co_return;
 
-    const auto heir = co_await offer (state, worker, record->identity().id, toMessage (*handed));
+    const auto successor =
+        co_await offerToSuccessors (state, worker, record->identity().id, toMessage (*handed));
 
     LogLine ("request_handed_over")
         .with ("request", toString (record->identity().id))
-        .with ("to", heir.empty() ? "nobody" : heir)
+        .with ("to", successor.empty() ? "nobody" : successor)
         .with ("events", handed->answer.eventCount())
         .with ("whole", handed->finishReason ? "yes" : "no")
-        .write (heir.empty() ? LogLevel::warning : LogLevel::info);
+        .write (successor.empty() ? LogLevel::warning : LogLevel::info);
 }
 
 /** @returns the record of a request that is handed over, with the part of its answer made so far; nothing where that part makes
@@ -116,11 +119,11 @@
 {
     // All at once: a notice leaves seconds. Answers that are whole go too where their callers have not read them to the end.
     const auto records = state.requests.all();
-    const auto handOne = [&] (std::size_t index) { return handOver (state, worker, records[index]); };
-    co_await runAll (worker.loop, records.size(), handOne);
+    const auto handOverOne = [&] (std::size_t index) { return handOver (state, worker, records[index]); };
+    co_await runAll (worker.loop, records.size(), handOverOne);
 }
 
-auto takeHandedRequest (RouterState& state, Worker& worker, const std::string& text) -> bool
+auto acceptHandedRequest (RouterState& state, Worker& worker, const std::string& text) -> bool
 {
     schema::HandedRequest message;
 
@@ -155,7 +158,8 @@
         run = std::make_shared<ModelRun> (state, worker, record, std::move (request), account, service);
 
         if (message.prompt_tokens() > 0)
-            run->goOnFrom ({ message.prompt_tokens(), message.cached_tokens(), 0 }, message.answer_tokens());
+            run->continueFrom ({ message.prompt_tokens(), message.cached_tokens(), 0 },
+                               message.answer_tokens());
     }
 
     // The same request handed over twice is taken once.
--- a/modules/snowrudder_router/model/RequestHandover.h
+++ b/modules/snowrudder_router/model/RequestHandover.h
@@ -16,6 +16,6 @@
 
     @returns false when the message makes no sense or the request can't go on here
 */
-auto takeHandedRequest (RouterState& state, Worker& worker, const std::string& message) -> bool;
+auto acceptHandedRequest (RouterState& state, Worker& worker, const std::string& message) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/once/OnceHandler.cpp
+++ b/modules/snowrudder_router/once/OnceHandler.cpp
@@ -10,14 +10,14 @@
 {
 
 /** An owner is looked for this long: a handover or a claim takes less. */
-constexpr auto longestSearch = 5s;
-constexpr auto searchPause = 150ms;
+constexpr auto ownerSearchTimeout = 5s;
+constexpr auto ownerSearchInterval = 150ms;
 
 /** An owner that has not answered for this long is asked again, if it still is the owner: it may be paused. */
-constexpr auto askTime = 2s;
+constexpr auto ownerResponseTimeout = 2s;
 
 /** What asking an owner came to. */
-enum class Asked
+enum class OwnerResponse
 {
     answered,
     /** It can't be reached, or says that it is no owner. */
@@ -51,11 +51,11 @@
 }
 
 /** Makes the call, and notes in the key table how it ended. */
-auto runAndNote (RouterState& state,
-                 std::shared_ptr<RequestRecord> record,
-                 std::string account,
-                 Uuid key,
-                 KeyedRun run) -> Task<void>
+auto runAndRecord (RouterState& state,
+                   std::shared_ptr<RequestRecord> record,
+                   std::string account,
+                   Uuid key,
+                   KeyedRun run) -> Task<void>
 {
     co_await run (record);
     const auto isAnswered = record->state() == RecordState::finished;
@@ -75,7 +75,7 @@
     const std::string noKey;
     state.requests.add (record, noKey);
     asio::co_spawn (worker.loop,
-                    runAndNote (state, record, call.input.account->name, call.key, std::move (run)),
+                    runAndRecord (state, record, call.input.account->name, call.key, std::move (run)),
                     asio::detached);
     co_await relayRecord (state, exchange, record, 0);
 }
@@ -98,14 +98,14 @@
 
     @returns `answered` once the caller has its answer
 */
-auto askOwner (RouterState& state,
-               Worker& worker,
-               Exchange& exchange,
-               const OnceCall& call,
-               const std::string& endpoint) -> Task<Asked>
+auto forwardToOwner (RouterState& state,
+                     Worker& worker,
+                     Exchange& exchange,
+                     const OnceCall& call,
+                     const std::string& endpoint) -> Task<OwnerResponse>
 {
     auto timeouts = state.timeouts.call;
-    timeouts.firstByte = askTime;
+    timeouts.firstByte = ownerResponseTimeout;
 
     HttpRequest request (call.received.method(), call.received.target(), 11);
     request.method_string (call.received.method_string());
@@ -118,16 +118,16 @@
     const auto mayReuse = true;
 
     if (co_await owner.connect (mayReuse) || co_await owner.send (request))
-        co_return Asked::noOwner;
+        co_return OwnerResponse::noOwner;
 
     if (const auto error = co_await owner.readHeader())
-        co_return error == std::errc::timed_out ? Asked::slow : Asked::noOwner;
+        co_return error == std::errc::timed_out ? OwnerResponse::slow : OwnerResponse::noOwner;
 
-    constexpr auto largestAnswer = std::size_t { 8 * 1024 * 1024 };
+    constexpr auto maxAnswerBytes = std::size_t { 8 * 1024 * 1024 };
     std::string body;
 
-    if (co_await owner.readRest (body, largestAnswer))
-        co_return Asked::noOwner;
+    if (co_await owner.readRest (body, maxAnswerBytes))
+        co_return OwnerResponse::noOwner;
 
     const auto type = toView (owner.header()[http::field::content_type]);
     const auto isNotOwner = owner.status() == answerFor (ErrorKind::ownerUnavailable).status &&
@@ -135,21 +135,23 @@
                             body.find ("owner_unavailable") != std::string::npos;
 
     if (isNotOwner)
-        co_return Asked::noOwner;
+        co_return OwnerResponse::noOwner;
 
     HttpResponse response (static_cast<http::status> (owner.status()), 11);
     copyEndToEndHeaders (owner.header(), response, [] (std::string_view) { return false; });
     response.body() = std::move (body);
     co_await exchange.respond (std::move (response));
-    co_return Asked::answered;
+    co_return OwnerResponse::answered;
 }
 
 /** Answers where the decision alone tells what to say.
 
     @returns whether it did
 */
-auto answerVerdict (RouterState& state, Exchange& exchange, const OnceCall& call, const KeyDecision& decision)
-    -> Task<bool>
+auto respondToVerdict (RouterState& state,
+                       Exchange& exchange,
+                       const OnceCall& call,
+                       const KeyDecision& decision) -> Task<bool>
 {
     const auto id = toString (call.input.id);
 
@@ -186,7 +188,7 @@
 auto handleOnce (RouterState& state, Worker& worker, Exchange& exchange, OnceCall call, KeyedRun run)
     -> Task<void>
 {
-    auto end = std::min (SteadyClock::now() + longestSearch, call.input.deadline);
+    auto end = std::min (SteadyClock::now() + ownerSearchTimeout, call.input.deadline);
     const auto record = makeCallRecord (call.input, call.contentHash);
 
     for (;;)
@@ -199,24 +201,25 @@
             co_return;
         }
 
-        if (co_await answerVerdict (state, exchange, call, decision))
+        if (co_await respondToVerdict (state, exchange, call, decision))
             co_return;
 
         const auto endpoint = call.isForwarded ? std::string() : ownerEndpoint (state, call);
-        const auto asked =
-            endpoint.empty() ? Asked::noOwner : co_await askOwner (state, worker, exchange, call, endpoint);
+        const auto ownerResponse = endpoint.empty()
+                                       ? OwnerResponse::noOwner
+                                       : co_await forwardToOwner (state, worker, exchange, call, endpoint);
 
-        if (asked == Asked::answered)
+        if (ownerResponse == OwnerResponse::answered)
             co_return;
 
-        if (asked == Asked::slow)
-            end = std::min (SteadyClock::now() + longestSearch, call.input.deadline);
+        if (ownerResponse == OwnerResponse::slow)
+            end = std::min (SteadyClock::now() + ownerSearchTimeout, call.input.deadline);
 
         // A router that was asked as the owner and is none says so at once; the one that asked looks again.
         if (call.isForwarded || SteadyClock::now() >= end)
             break;
 
-        co_await pauseFor (worker.loop, searchPause);
+        co_await pauseFor (worker.loop, ownerSearchInterval);
     }
 
     co_await respondProblem (state, exchange, makeProblem (ErrorKind::ownerUnavailable),
--- a/modules/snowrudder_router/once/SlotHandover.cpp
+++ b/modules/snowrudder_router/once/SlotHandover.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-constexpr auto largestHandedAnswer = std::size_t { 64 * 1024 };
+constexpr auto maxHandedAnswerBytes = std::size_t { 64 * 1024 };
 
 /** One heir and what it is to get. */
-struct HeirShare
+struct SuccessorShare
 {
     std::string name;
     std::string endpoint;
@@ -22,7 +22,7 @@
     schema::HandedSlots message;
 };
 
-auto toHanded (const KeyEntry& entry, schema::HandedKey& handed) -> void
+auto toHandedKey (const KeyEntry& entry, schema::HandedKey& handed) -> void
 {
     handed.set_account (entry.account);
     handed.set_key (toString (entry.key));
@@ -33,7 +33,7 @@
     const auto record = entry.record.lock();
     const auto answer = record ? record->keptAnswer() : std::nullopt;
 
-    if (! answer || answer->body.size() > largestHandedAnswer)
+    if (! answer || answer->body.size() > maxHandedAnswerBytes)
         return;
 
     handed.mutable_answer()->set_status (answer->status);
@@ -63,25 +63,25 @@
 }
 
 /** Freezes all slots and divides them among the routers with living leases. */
-auto divideSlots (RouterState& state) -> std::map<std::string, HeirShare>
+auto divideSlots (RouterState& state) -> std::map<std::string, SuccessorShare>
 {
-    std::map<std::string, HeirShare> shares;
+    std::map<std::string, SuccessorShare> shares;
     const std::lock_guard lock (state.once.mutex);
     auto others = state.once.view;
     others.owners.erase (state.settings.node().name());
 
     for (const auto& [slot, owned] : state.once.table.owned())
     {
-        const auto heir = preferredOwner (others, slot);
-        const auto* peer = findPeer (state, heir);
+        const auto successor = preferredOwner (others, slot);
+        const auto* peer = findPeer (state, successor);
 
         if (peer == nullptr)
             continue;
 
-        auto& share = shares[heir];
-        share.name = heir;
+        auto& share = shares[successor];
+        share.name = successor;
         share.endpoint = peer->endpoint();
-        share.lease = others.owners[heir];
+        share.lease = others.owners[successor];
 
         auto& handed = *share.message.add_slots();
         handed.set_slot (slot);
@@ -107,14 +107,14 @@
     }
 
     for (const auto& entry : entries)
-        toHanded (entry, *handed.add_keys());
+        toHandedKey (entry, *handed.add_keys());
 }
 
 /** Makes the heir the owner in the platform's record. */
-auto writeHeir (RouterState& state,
-                PlatformClient& platform,
-                const HeirShare& share,
-                const schema::HandedSlot& handed) -> Task<void>
+auto writeSuccessor (RouterState& state,
+                     PlatformClient& platform,
+                     const SuccessorShare& share,
+                     const schema::HandedSlot& handed) -> Task<void>
 {
     SlotRecord record;
     record.owner = share.name;
@@ -182,11 +182,11 @@
 
 auto handOverSlots (RouterState& state, Worker& worker) -> Task<void>
 {
-    constexpr auto longestWait = 10s;
-    constexpr auto handTime = 2s;
+    constexpr auto keyedCallTimeout = 10s;
+    constexpr auto handoverTimeout = 2s;
     PlatformClient platform (worker.pool, parseEndpoint (state.settings.platform()), state.metrics);
     auto shares = divideSlots (state);
-    co_await waitForKeyedCalls (state, worker, SteadyClock::now() + longestWait);
+    co_await waitForKeyedCalls (state, worker, SteadyClock::now() + keyedCallTimeout);
 
     for (auto& [name, share] : shares)
     {
@@ -195,7 +195,7 @@
 
         auto request = makeRequest (http::verb::post, "/internal/slots", share.message.SerializeAsString());
         const auto answer = co_await callPeer (state, worker, share.endpoint, std::move (request),
-                                               { handTime, handTime, handTime });
+                                               { handoverTimeout, handoverTimeout, handoverTimeout });
 
         if (! answer.isGood())
         {
@@ -204,7 +204,7 @@
         }
 
         for (const auto& handed : share.message.slots())
-            co_await writeHeir (state, platform, share, handed);
+            co_await writeSuccessor (state, platform, share, handed);
     }
 
     auto lease = std::uint64_t { 0 };
@@ -219,7 +219,7 @@
         co_await platform.endLease (lease);
 }
 
-auto takeHandedSlots (RouterState& state, const std::string& message) -> bool
+auto acceptHandedSlots (RouterState& state, const std::string& message) -> bool
 {
     schema::HandedSlots handedSlots;
 
@@ -228,9 +228,9 @@
 
     for (const auto& handed : handedSlots.slots())
     {
-        Inheritance inheritance;
-        inheritance.epoch = handed.epoch();
-        inheritance.knownSince = WallTime (std::chrono::milliseconds (handed.known_since_milliseconds()));
+        HandedSlotTable handedTable;
+        handedTable.epoch = handed.epoch();
+        handedTable.knownSince = WallTime (std::chrono::milliseconds (handed.known_since_milliseconds()));
 
         for (const auto& key : handed.keys())
         {
@@ -240,12 +240,12 @@
                 return false;
 
             const auto record = key.has_answer() ? keepHandedAnswer (state, key) : nullptr;
-            inheritance.entries.push_back ({ key.account(), *uuid, key.content_hash(),
+            handedTable.entries.push_back ({ key.account(), *uuid, key.content_hash(),
                                              static_cast<KeyState> (key.state()), key.request_id(), record });
         }
 
         const std::lock_guard lock (state.once.mutex);
-        state.once.inheritances[handed.slot()] = std::move (inheritance);
+        state.once.handedSlotTables[handed.slot()] = std::move (handedTable);
     }
 
     return true;
--- a/modules/snowrudder_router/once/SlotHandover.h
+++ b/modules/snowrudder_router/once/SlotHandover.h
@@ -14,6 +14,6 @@
 
     @returns false when the message makes no sense
 */
-auto takeHandedSlots (RouterState& state, const std::string& message) -> bool;
+auto acceptHandedSlots (RouterState& state, const std::string& message) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/once/SlotKeeper.cpp
+++ b/modules/snowrudder_router/once/SlotKeeper.cpp
@@ -10,17 +10,17 @@
 namespace
 {
 
-constexpr auto watchTime = 5s;
-constexpr auto failurePause = 500ms;
+constexpr auto maxWatchTimeout = 5s;
+constexpr auto retryInterval = 500ms;
 
 /** Others that start at the same time get to register their leases before the first one claims everything. */
-constexpr auto settleTime = 1s;
+constexpr auto claimDelay = 1s;
 
 /** The work of keeping slots, with what it remembers between its steps. */
-class Keeper
+class SlotKeeper
 {
 public:
-    Keeper (RouterState& routerState, Worker& routerWorker)
+    SlotKeeper (RouterState& routerState, Worker& routerWorker)
         : state (routerState), worker (routerWorker), once (routerState.once),
           platform (worker.pool, parseEndpoint (state.settings.platform()), state.metrics),
           name (state.settings.node().name())
@@ -40,21 +40,21 @@
                 co_await claimSlots();
 
             const auto newest =
-                isFresh ? co_await platform.watch (slotsPrefix, version, waitTime(), "slots_watch")
+                isFresh ? co_await platform.watch (slotsPrefix, version, watchTimeout(), "slots_watch")
                         : std::nullopt;
 
             if (! newest)
-                co_await pauseFor (worker.loop, jittered (failurePause));
+                co_await pauseFor (worker.loop, jittered (retryInterval));
         }
     }
 
 private:
     /** A renewal is due well before the lease ends. */
-    [[nodiscard]] auto renewalTime() const -> Duration { return once.times.lease / 3; }
+    [[nodiscard]] auto renewalInterval() const -> Duration { return once.times.lease / 3; }
 
-    [[nodiscard]] auto waitTime() const -> Duration
+    [[nodiscard]] auto watchTimeout() const -> Duration
     {
-        return std::min<Duration> (watchTime, renewalTime() / 2);
+        return std::min<Duration> (maxWatchTimeout, renewalInterval() / 2);
     }
 
     auto refresh() -> Task<bool>
@@ -74,7 +74,7 @@
 
         const std::lock_guard lock (once.mutex);
         once.view = std::move (view);
-        state.hasOwners = state.hasOwners || isWhollyOwned (once.view);
+        state.hasSlotOwners = state.hasSlotOwners || isWhollyOwned (once.view);
         adoptSlots();
         once.table.dropOld (wallTimeNow());
         co_return true;
@@ -90,10 +90,10 @@
         for (auto slot = std::uint32_t { 0 }; slot < keySlotCount; ++slot)
         {
             const auto found = once.view.slots.find (slot);
-            const auto isMine = found != once.view.slots.end() && found->second.owner == name &&
-                                once.lease != 0 && found->second.lease == once.lease;
+            const auto isOwn = found != once.view.slots.end() && found->second.owner == name &&
+                               once.lease != 0 && found->second.lease == once.lease;
 
-            if (! isMine)
+            if (! isOwn)
                 once.table.giveUp (slot);
             else if (! once.table.owns (slot))
                 adopt (slot, found->second);
@@ -102,14 +102,15 @@
 
     auto adopt (std::uint32_t slot, const SlotRecord& record) -> void
     {
-        const auto inherited = once.inheritances.find (slot);
+        const auto handedTable = once.handedSlotTables.find (slot);
 
-        if (inherited != once.inheritances.end() && inherited->second.epoch == record.epoch)
-            once.table.inherit (slot, record.epoch, inherited->second.knownSince, inherited->second.entries);
+        if (handedTable != once.handedSlotTables.end() && handedTable->second.epoch == record.epoch)
+            once.table.inherit (slot, record.epoch, handedTable->second.knownSince,
+                                handedTable->second.entries);
         else
             once.table.takeOver (slot, record.epoch, wallTimeNow());
 
-        once.inheritances.erase (slot);
+        once.handedSlotTables.erase (slot);
         LogLine ("slot_owned").with ("slot", slot).with ("epoch", record.epoch).info();
     }
 
@@ -120,14 +121,14 @@
         if (lease != 0 && SteadyClock::now() < renewAt)
             co_return;
 
-        const auto begun = SteadyClock::now();
+        const auto requestedAt = SteadyClock::now();
 
         if (lease != 0)
         {
             const auto outcome = co_await platform.renewLease (lease);
 
             if (outcome == WriteOutcome::done)
-                noteLease (lease, begun);
+                recordLease (lease, requestedAt);
             else if (outcome == WriteOutcome::refused && SteadyClock::now() >= leaseEnd())
                 dropLease();
 
@@ -148,30 +149,30 @@
             co_await platform.swap (ownerKey (name), 0, std::to_string (*granted), *granted, "lease");
 
         if (written.outcome == WriteOutcome::done)
-            noteLease (*granted, begun);
+            recordLease (*granted, requestedAt);
         else if (written.outcome == WriteOutcome::unknown)
-            co_await resolveLease (*granted, begun);
+            co_await resolveLease (*granted, requestedAt);
     }
 
     /** The answer was lost: what stands there now tells. */
-    auto resolveLease (std::uint64_t lease, TimePoint begun) -> Task<void>
+    auto resolveLease (std::uint64_t lease, TimePoint requestedAt) -> Task<void>
     {
         const auto stored = co_await platform.read (ownerKey (name), "lease");
 
         if (stored && stored->value == std::to_string (lease))
-            noteLease (lease, begun);
+            recordLease (lease, requestedAt);
     }
 
-    auto noteLease (std::uint64_t lease, TimePoint begun) -> void
+    auto recordLease (std::uint64_t lease, TimePoint requestedAt) -> void
     {
-        renewAt = begun + renewalTime();
+        renewAt = requestedAt + renewalInterval();
 
         if (registeredAt == TimePoint())
             registeredAt = SteadyClock::now();
 
         const std::lock_guard lock (once.mutex);
         once.lease = lease;
-        once.leaseEnd = begun + once.times.lease - once.times.margin;
+        once.leaseEnd = requestedAt + once.times.lease - once.times.margin;
         // Known at once, not only with the next listing.
         once.view.owners[name] = lease;
     }
@@ -206,7 +207,7 @@
     [[nodiscard]] auto mayClaim() const -> bool
     {
         const auto now = SteadyClock::now();
-        return currentLease() != 0 && now < leaseEnd() && now - registeredAt >= settleTime;
+        return currentLease() != 0 && now < leaseEnd() && now - registeredAt >= claimDelay;
     }
 
     auto claimSlots() -> Task<void>
@@ -257,7 +258,7 @@
 
 auto keepSlots (RouterState& state, Worker& worker) -> Task<void>
 {
-    Keeper keeper (state, worker);
+    SlotKeeper keeper (state, worker);
     co_await keeper.run();
 }
 
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -11,62 +11,64 @@
 {
 
 constexpr auto compareInterval = 1s;
-constexpr auto tellInterval = 60ms;
-constexpr auto answerTime = 1s;
+constexpr auto announceInterval = 60ms;
+constexpr auto responseTimeout = 1s;
 
 /** Comparisons that a router makes after its start, whether it knows of crashes or not. */
-constexpr auto comparisonsAtStart = 5;
+constexpr auto initialComparisons = 5;
 
-auto tell (RouterState& state, Worker& worker, const schema::Peer& peer, const std::string& told)
-    -> Task<void>
+auto sendEvidence (RouterState& state,
+                   Worker& worker,
+                   const schema::Peer& peer,
+                   const std::string& encodedEvidence) -> Task<void>
 {
-    const CallTimeouts timeouts { answerTime, answerTime, answerTime };
-    auto request = makeRequest (http::verb::post, crashesTarget, told);
+    const CallTimeouts timeouts { responseTimeout, responseTimeout, responseTimeout };
+    auto request = makeRequest (http::verb::post, crashesTarget, encodedEvidence);
     const auto answer = co_await callPeer (state, worker, peer.endpoint(), std::move (request), timeouts);
 
     if (answer.isGood())
         exchangeCrashes (state, answer.body);
 }
 
-auto encoded (RouterState& state, std::vector<CrashEvidence> evidence, TimePoint now) -> std::string
+auto encodeEvidence (RouterState& state, std::vector<CrashEvidence> evidence, TimePoint now) -> std::string
 {
     return encodeCrashes ({ state.settings.node().name(), std::move (evidence) }, now);
 }
 
-auto tellAll (RouterState& state, Worker& worker, const std::string& told) -> Task<void>
+auto announceEvidence (RouterState& state, Worker& worker, const std::string& encodedEvidence) -> Task<void>
 {
     const auto& peers = state.settings.peers();
-    const auto tellOne = [&] (std::size_t index)
-    { return tell (state, worker, peers[static_cast<int> (index)], told); };
-    co_await runAll (worker.loop, static_cast<std::size_t> (peers.size()), tellOne);
+    const auto sendToOne = [&] (std::size_t index)
+    { return sendEvidence (state, worker, peers[static_cast<int> (index)], encodedEvidence); };
+    co_await runAll (worker.loop, static_cast<std::size_t> (peers.size()), sendToOne);
 }
 
 auto compareWithOne (RouterState& state, Worker& worker, TimePoint now) -> Task<void>
 {
     const auto peers = state.settings.peers_size();
-    const auto drawn = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
-    const auto known = encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
-    co_await tell (state, worker, state.settings.peers (drawn), known);
+    const auto selected = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
+    const auto knownEvidence = encodeEvidence (state, state.crashes.table().all (mostEvidenceTold, now), now);
+    co_await sendEvidence (state, worker, state.settings.peers (selected), knownEvidence);
 }
 
 } // namespace
 
-auto spreadCrashes (RouterState& state, Worker& worker, std::shared_ptr<Signal> wake) -> Task<void>
+auto gossipCrashes (RouterState& state, Worker& worker, std::shared_ptr<Signal> changeSignal) -> Task<void>
 {
     if (state.settings.peers_size() == 0)
         co_return;
 
-    auto comparisonsLeft = comparisonsAtStart;
+    auto comparisonsLeft = initialComparisons;
 
     for (;;)
     {
         const auto now = SteadyClock::now();
-        auto news = state.crashes.table().takeToTell (mostEvidenceTold);
+        auto newEvidence = state.crashes.table().takeToTell (mostEvidenceTold);
 
-        if (! news.empty())
+        if (! newEvidence.empty())
         {
-            co_await tellAll (state, worker, encoded (state, std::move (news), now));
-            co_await pauseFor (worker.loop, tellInterval);
+            co_await announceEvidence (state, worker, encodeEvidence (state, std::move (newEvidence), now));
+            co_await pauseFor (worker.loop, announceInterval);
             continue;
         }
 
@@ -76,22 +78,22 @@
             co_await compareWithOne (state, worker, now);
         }
 
-        co_await wake->wait (SteadyClock::now() + compareInterval);
+        co_await changeSignal->wait (SteadyClock::now() + compareInterval);
     }
 }
 
 auto exchangeCrashes (RouterState& state, const std::string& message) -> std::optional<std::string>
 {
     const auto now = SteadyClock::now();
-    const auto heard = decodeCrashes (message, now);
+    const auto received = decodeCrashes (message, now);
 
-    if (! heard)
+    if (! received)
         return {};
 
     // All routers are told directly by the one that saw a crash.
-    const auto isToTell = false;
-    state.crashes.hear (heard->evidence, heard->node, isToTell, now);
-    return encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
+    const auto shouldAnnounce = false;
+    state.crashes.hear (received->evidence, received->node, shouldAnnounce, now);
+    return encodeEvidence (state, state.crashes.table().all (mostEvidenceTold, now), now);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/peers/CrashExchange.h
+++ b/modules/snowrudder_router/peers/CrashExchange.h
@@ -16,7 +16,7 @@
 
     @param wake  notified when there is something new
 */
-auto spreadCrashes (RouterState& state, Worker& worker, std::shared_ptr<Signal> wake) -> Task<void>;
+auto gossipCrashes (RouterState& state, Worker& worker, std::shared_ptr<Signal> changeSignal) -> Task<void>;
 
 /** Takes in what another router knows of crashes.
 
--- a/modules/snowrudder_router/peers/InternalHandler.cpp
+++ b/modules/snowrudder_router/peers/InternalHandler.cpp
@@ -13,7 +13,7 @@
 {
 
 /** @returns what another node is told where it asks what this one knows, or nothing. */
-auto tellNode (RouterState& state, const Exchange& exchange) -> std::optional<std::string>
+auto replyToNode (RouterState& state, const Exchange& exchange) -> std::optional<std::string>
 {
     if (exchange.path() == treeTarget)
         return exchangeTree (state, exchange.request().body());
@@ -25,22 +25,23 @@
 }
 
 /** @returns what is wrong with a message, or nothing once it is taken. */
-auto takeMessage (RouterState& state, Worker& worker, const Exchange& exchange) -> std::optional<Problem>
+auto acceptMessage (RouterState& state, Worker& worker, const Exchange& exchange) -> std::optional<Problem>
 {
     if (state.leaving)
         return makeProblem (ErrorKind::nodeLeaving);
 
     const auto& body = exchange.request().body();
-    auto isTaken = false;
+    auto isAccepted = false;
 
     if (exchange.path() == "/internal/slots")
-        isTaken = takeHandedSlots (state, body);
+        isAccepted = acceptHandedSlots (state, body);
     else if (exchange.path() == "/internal/request")
-        isTaken = takeHandedRequest (state, worker, body);
+        isAccepted = acceptHandedRequest (state, worker, body);
     else
         return makeProblem (ErrorKind::notFound);
 
-    return isTaken ? std::nullopt : std::optional (makeProblem (ErrorKind::invalidRequest, "not understood"));
+    return isAccepted ? std::nullopt
+                      : std::optional (makeProblem (ErrorKind::invalidRequest, "not understood"));
 }
 
 } // namespace
@@ -55,13 +56,13 @@
     }
 
     // A leaving router answers these too: what it knows may be the newest.
-    if (const auto told = tellNode (state, exchange))
+    if (const auto reply = replyToNode (state, exchange))
     {
-        co_await exchange.respond (http::status::ok, "application/x-protobuf", *told);
+        co_await exchange.respond (http::status::ok, "application/x-protobuf", *reply);
         co_return;
     }
 
-    const auto problem = takeMessage (state, worker, exchange);
+    const auto problem = acceptMessage (state, worker, exchange);
 
     if (problem)
         co_await respondProblem (state, exchange, *problem, "");
--- a/modules/snowrudder_router/peers/PeerCalls.cpp
+++ b/modules/snowrudder_router/peers/PeerCalls.cpp
@@ -39,30 +39,32 @@
     return nullptr;
 }
 
-auto heirsOf (const RouterState& state, const RequestId& request) -> std::vector<const schema::Peer*>
+auto successorsOf (const RouterState& state, const RequestId& request) -> std::vector<const schema::Peer*>
 {
-    struct Heir
+    struct Successor
     {
         const schema::Peer* peer = nullptr;
-        bool sameDomain = false;
-        std::uint64_t value = 0;
+        bool isSameDomain = false;
+        std::uint64_t rank = 0;
     };
 
     const auto domain = domainOf (state, request.node);
     const auto hash = hashBytes (toString (request));
-    std::vector<Heir> heirs;
+    std::vector<Successor> successors;
 
     for (const auto& peer : state.settings.peers())
         if (peer.name() != request.node)
-            heirs.push_back ({ &peer, peer.failure_domain() == domain, hashBytes (peer.name(), hash) });
+            successors.push_back ({ &peer, peer.failure_domain() == domain, hashBytes (peer.name(), hash) });
 
-    std::ranges::sort (heirs, {}, [] (const Heir& heir) { return std::pair (heir.sameDomain, ~heir.value); });
-    heirs.resize (std::min (heirs.size(), mostHeirs));
+    std::ranges::sort (successors, {},
+                       [] (const Successor& successor)
+                       { return std::pair (successor.isSameDomain, ~successor.rank); });
+    successors.resize (std::min (successors.size(), maxSuccessors));
     std::vector<const schema::Peer*> peers;
-    peers.reserve (heirs.size());
+    peers.reserve (successors.size());
 
-    for (const auto& heir : heirs)
-        peers.push_back (heir.peer);
+    for (const auto& successor : successors)
+        peers.push_back (successor.peer);
 
     return peers;
 }
--- a/modules/snowrudder_router/peers/TreeExchange.cpp
+++ b/modules/snowrudder_router/peers/TreeExchange.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-constexpr auto interval = 1s;
-constexpr auto answerTime = 1s;
+constexpr auto compareInterval = 1s;
+constexpr auto responseTimeout = 1s;
 
 /** Puts a message's tree in force where it is newer. */
-auto takeTree (RouterState& state, const schema::TreeExchange& message) -> void
+auto adoptReceivedTree (RouterState& state, const schema::TreeExchange& message) -> void
 {
     if (! message.text().empty())
         adoptTree (state, message.text(), message.revision());
@@ -22,9 +22,9 @@
 /** Compares the tree with one peer, both ways: the newer text goes to the other. */
 auto compareWith (RouterState& state, Worker& worker, const schema::Peer& peer) -> Task<void>
 {
-    const CallTimeouts timeouts { answerTime, answerTime, answerTime };
+    const CallTimeouts timeouts { responseTimeout, responseTimeout, responseTimeout };
     schema::TreeExchange own;
-    own.set_revision (state.heldTree().revision);
+    own.set_revision (state.currentTree().revision);
 
     auto request = makeRequest (http::verb::post, treeTarget, own.SerializeAsString());
     const auto answer = co_await callPeer (state, worker, peer.endpoint(), std::move (request), timeouts);
@@ -33,8 +33,8 @@
     if (! answer.isGood() || ! theirs.ParseFromString (answer.body))
         co_return;
 
-    takeTree (state, theirs);
-    const auto held = state.heldTree();
+    adoptReceivedTree (state, theirs);
+    const auto held = state.currentTree();
 
     if (theirs.revision() >= held.revision)
         co_return;
@@ -54,9 +54,9 @@
     if (! theirs.ParseFromString (message))
         return {};
 
-    takeTree (state, theirs);
+    adoptReceivedTree (state, theirs);
 
-    const auto held = state.heldTree();
+    const auto held = state.currentTree();
     schema::TreeExchange own;
     own.set_revision (held.revision);
 
@@ -66,7 +66,7 @@
     return own.SerializeAsString();
 }
 
-auto spreadTree (RouterState& state, Worker& worker) -> Task<void>
+auto gossipTree (RouterState& state, Worker& worker) -> Task<void>
 {
     const auto peers = state.settings.peers_size();
 
@@ -75,16 +75,16 @@
 
     for (;;)
     {
-        const auto drawn = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
-        co_await compareWith (state, worker, state.settings.peers (drawn));
-        co_await pauseFor (worker.loop, jittered (interval));
+        const auto selected = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
+        co_await compareWith (state, worker, state.settings.peers (selected));
+        co_await pauseFor (worker.loop, jittered (compareInterval));
     }
 }
 
 auto routerStatus (const RouterState& state) -> std::string
 {
     schema::RouterStatus status;
-    status.set_revision (state.heldTree().revision);
+    status.set_revision (state.currentTree().revision);
     status.set_ready (state.isReady());
     status.set_leaving (state.leaving);
     status.set_open_requests (static_cast<std::uint32_t> (state.requests.openCount()));
--- a/modules/snowrudder_router/peers/TreeExchange.h
+++ b/modules/snowrudder_router/peers/TreeExchange.h
@@ -18,7 +18,7 @@
 /** Compares the tree with one router drawn at random each second, for ever. A revision that a few routers hold is in
     force everywhere within seconds though the platform's service be down, at a cost that does not grow with the fleet.
 */
-auto spreadTree (RouterState& state, Worker& worker) -> Task<void>;
+auto gossipTree (RouterState& state, Worker& worker) -> Task<void>;
 
 /** @returns this router's state for the administration API, serialized. */
 auto routerStatus (const RouterState& state) -> std::string;
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -17,7 +17,7 @@
     return std::find (statuses.begin(), statuses.end(), status) != statuses.end();
 }
 
-auto attemptOn (RouterState& state, Worker& worker, const PlainCallInput& input, const ReplicaTicket& ticket)
+auto runAttempt (RouterState& state, Worker& worker, const PlainCallInput& input, const ReplicaTicket& ticket)
     -> Task<AttemptResult>
 {
     auto timeouts = state.timeouts.call;
@@ -59,11 +59,11 @@
 }
 
 /** @returns what became of the replica of an attempt, for the log. */
-auto replicaAfter (RouterState& state,
-                   Worker& worker,
-                   const PlainCallInput& input,
-                   const ReplicaTicket& ticket,
-                   const AttemptResult& result) -> Task<std::string_view>
+auto examineReplica (RouterState& state,
+                     Worker& worker,
+                     const PlainCallInput& input,
+                     const ReplicaTicket& ticket,
+                     const AttemptResult& result) -> Task<std::string_view>
 {
     const auto* outcome = std::get_if<AttemptOutcome> (&result);
 
@@ -122,15 +122,15 @@
         ranking.applyTo (choice);
 
         AttemptResult result = AttemptOutcome { CallStage::planned, FailureCause::noReplica };
-        std::string_view after = "not_asked";
+        std::string_view addressState = "not_asked";
 
         if (const auto taken = state.replicas.take (input.service->name, choice,
                                                     choiceWeights (*input.service), SteadyClock::now()))
         {
-            logDecision (idText, input.account->name, *taken, attempt);
+            logRoutingDecision (idText, input.account->name, *taken, attempt);
             tried.push_back (taken->ticket.number);
-            result = co_await attemptOn (state, worker, input, taken->ticket);
-            after = co_await replicaAfter (state, worker, input, taken->ticket, result);
+            result = co_await runAttempt (state, worker, input, taken->ticket);
+            addressState = co_await examineReplica (state, worker, input, taken->ticket, result);
         }
         else
         {
@@ -150,7 +150,7 @@
         if (decision.again && decision.takesBudget)
             decision.again = state.retryBudgets.take (input.account->name, input.service->name);
 
-        attemptFailed (idText, attempt, outcome, decision).with ("replica_address", after).info();
+        attemptFailed (idText, attempt, outcome, decision).with ("replica_address", addressState).info();
 
         if (! decision.again)
             co_return problemAfter (outcome, decision);
--- a/modules/snowrudder_router/plain/PlainHandler.cpp
+++ b/modules/snowrudder_router/plain/PlainHandler.cpp
@@ -12,10 +12,10 @@
 {
 
 constexpr auto servicesPrefix = std::string_view ("/services/");
-constexpr auto largestKeptAnswer = std::size_t { 4 * 1024 * 1024 };
+constexpr auto maxKeptAnswerBytes = std::size_t { 4 * 1024 * 1024 };
 
 /** What a call turned out to ask for. */
-struct WantedCall
+struct ResolvedCall
 {
     PlainCallInput input;
     std::string key;
@@ -26,7 +26,7 @@
 {
     std::string_view service;
     /** With its leading '/', its query included. */
-    std::string_view rest;
+    std::string_view upstreamTarget;
 };
 
 auto splitTarget (std::string_view target) -> ServiceTarget
@@ -37,8 +37,8 @@
     if (end == std::string_view::npos)
         return { target, "/" };
 
-    const auto rest = target[end] == '/' ? target.substr (end) : std::string_view ("/");
-    return { target.substr (0, end), rest };
+    const auto upstreamTarget = target[end] == '/' ? target.substr (end) : std::string_view ("/");
+    return { target.substr (0, end), upstreamTarget };
 }
 
 /** The upstream gets what the caller sent, less what is between caller and router. */
@@ -65,8 +65,8 @@
     return request;
 }
 
-auto readWanted (const RouterState& state, const Exchange& exchange, const CallerScope& scope)
-    -> std::variant<WantedCall, Problem>
+auto resolveRequest (const RouterState& state, const Exchange& exchange, const CallerScope& scope)
+    -> std::variant<ResolvedCall, Problem>
 {
     const auto& received = exchange.request();
     const auto target = splitTarget (toView (received.target()));
@@ -83,22 +83,23 @@
     if (auto* problem = std::get_if<Problem> (&key))
         return std::move (*problem);
 
-    const auto path = target.rest.substr (0, target.rest.find ('?'));
-    const auto isTightened = beast::iequals (toBeast (exchange.header ("Snowrudder-Repeatable")), "no");
-
-    WantedCall wanted;
-    wanted.key = std::get<std::string> (std::move (key));
-    wanted.input.service = service;
-    wanted.input.account = scope.account;
-    wanted.input.id = scope.id;
-    wanted.input.repeatable =
-        ! isTightened && isRepeatable (service->settings, toView (received.method_string()), path);
-    wanted.input.deadline = SteadyClock::now() + scope.account->deadline;
-    wanted.input.request = upstreamRequest (received, target.rest, toString (scope.id));
-    wanted.input.fingerprint =
-        fingerprintOf (state.settings.node_secret(), { scope.account->name, toView (received.method_string()),
-                                                       service->name, target.rest, received.body() });
-    return wanted;
+    const auto path = target.upstreamTarget.substr (0, target.upstreamTarget.find ('?'));
+    const auto isMarkedNotRepeatable =
+        beast::iequals (toBeast (exchange.header ("Snowrudder-Repeatable")), "no");
+
+    ResolvedCall resolved;
+    resolved.key = std::get<std::string> (std::move (key));
+    resolved.input.service = service;
+    resolved.input.account = scope.account;
+    resolved.input.id = scope.id;
+    resolved.input.repeatable =
+        ! isMarkedNotRepeatable && isRepeatable (service->settings, toView (received.method_string()), path);
+    resolved.input.deadline = SteadyClock::now() + scope.account->deadline;
+    resolved.input.request = upstreamRequest (received, target.upstreamTarget, toString (scope.id));
+    resolved.input.fingerprint = fingerprintOf (state.settings.node_secret(),
+                                                { scope.account->name, toView (received.method_string()),
+                                                  service->name, target.upstreamTarget, received.body() });
+    return resolved;
 }
 
 /** Counts a call in progress. */
@@ -127,22 +128,22 @@
 auto enterQueue (RouterState& state, Worker& worker, const PlainCallInput& input)
     -> Task<ServiceQueues::Place>
 {
-    constexpr auto usualQueue = std::uint32_t { 256 };
-    constexpr auto bytesAWorkUnit = 1024.0;
+    constexpr auto defaultQueueLimit = std::uint32_t { 256 };
+    constexpr auto bytesPerWorkUnit = 1024.0;
     const auto& settings = input.service->settings;
 
     QueuedRequest queued;
     queued.account = input.account->name;
     queued.weight = input.account->weight;
-    queued.cost = 1.0 + static_cast<double> (input.request.body().size()) / bytesAWorkUnit;
-    queued.deadline = turnDeadline (*input.service, SteadyClock::now(), input.deadline);
-    const auto mostQueued = settings.has_queue_limit() ? settings.queue_limit() : usualQueue;
-    return state.queues.enter (input.service->name, std::move (queued), mostQueued,
+    queued.cost = 1.0 + static_cast<double> (input.request.body().size()) / bytesPerWorkUnit;
+    queued.deadline = queueDeadline (*input.service, SteadyClock::now(), input.deadline);
+    const auto queueLimit = settings.has_queue_limit() ? settings.queue_limit() : defaultQueueLimit;
+    return state.queues.enter (input.service->name, std::move (queued), queueLimit,
                                worker.loop.get_executor());
 }
 
 /** Notes a call that a replica answered with success and whole, as far as its answer was read here. */
-auto noteAnswer (RouterState& state, const PlainCallInput& input, const UpstreamCall& call) -> void
+auto recordSuccess (RouterState& state, const PlainCallInput& input, const UpstreamCall& call) -> void
 {
     if (call.hasSucceeded())
         state.crashes.table().noteSuccess (input.fingerprint, SteadyClock::now());
@@ -151,10 +152,10 @@
 /** Keeps a small answer, so that its caller can ask for it by the request's identifier. */
 auto keepSmallAnswer (RouterState& state, const PlainCallInput& input, PlainAnswer& answer) -> void
 {
-    constexpr auto largestSmallAnswer = std::size_t { 16 * 1024 };
+    constexpr auto maxSmallAnswerBytes = std::size_t { 16 * 1024 };
     auto& call = answer.upstream();
 
-    if (! call.isDone() || answer.body.size() > largestSmallAnswer)
+    if (! call.isDone() || answer.body.size() > maxSmallAnswerBytes)
         return;
 
     constexpr auto noContentHash = std::uint64_t { 0 };
@@ -166,15 +167,15 @@
     state.requests.noteEnded (record, SteadyClock::now());
 }
 
-auto relayDirectly (RouterState& state, Worker& worker, Exchange& exchange, const PlainCallInput& input)
+auto relayUnkeyed (RouterState& state, Worker& worker, Exchange& exchange, const PlainCallInput& input)
     -> Task<void>
 {
     const auto idText = toString (input.id);
-    const auto place = co_await enterQueue (state, worker, input);
+    const auto permit = co_await enterQueue (state, worker, input);
 
-    if (! place.granted)
+    if (! permit.granted)
     {
-        co_await respondProblem (state, exchange, problemOf (place), idText);
+        co_await respondProblem (state, exchange, overloadProblem (permit), idText);
         co_return;
     }
 
@@ -190,7 +191,7 @@
     auto& answer = *std::get<std::unique_ptr<PlainAnswer>> (result);
     keepSmallAnswer (state, input, answer);
     co_await relayAnswer (exchange, answer.upstream(), std::move (answer.body), idText);
-    noteAnswer (state, input, answer.upstream());
+    recordSuccess (state, input, answer.upstream());
 }
 
 /** Makes a keyed call's answer apart from the caller's connection and keeps it for the key. */
@@ -198,13 +199,13 @@
                Worker& worker,
                PlainCallInput input,
                std::shared_ptr<RequestRecord> record,
-               std::shared_ptr<AdmittedRequest>) -> Task<void>
+               std::shared_ptr<AccountAdmission>) -> Task<void>
 {
-    const auto place = co_await enterQueue (state, worker, input);
+    const auto permit = co_await enterQueue (state, worker, input);
 
-    if (! place.granted)
+    if (! permit.granted)
     {
-        record->fail (problemOf (place));
+        record->fail (overloadProblem (permit));
         state.requests.noteEnded (record, SteadyClock::now());
         co_return;
     }
@@ -224,13 +225,13 @@
     KeptAnswer kept { call.status(), std::string (call.header()[http::field::content_type]),
                       std::move (answer.body) };
 
-    if (co_await call.readRest (kept.body, largestKeptAnswer))
+    if (co_await call.readRest (kept.body, maxKeptAnswerBytes))
         record->fail (
             makeProblem (ErrorKind::upstreamFailed, Ran::yes, "the answer could not be kept whole"));
     else
         record->finish (std::move (kept));
 
-    noteAnswer (state, input, call);
+    recordSuccess (state, input, call);
     state.requests.noteEnded (record, SteadyClock::now());
 }
 
@@ -246,17 +247,17 @@
 auto relayKeyed (RouterState& state,
                  Worker& worker,
                  Exchange& exchange,
-                 WantedCall wanted,
-                 std::shared_ptr<AdmittedRequest> admitted) -> Task<void>
+                 ResolvedCall resolved,
+                 std::shared_ptr<AccountAdmission> admitted) -> Task<void>
 {
-    auto record = makeCallRecord (wanted.input, contentHashOf (exchange.request()));
+    auto record = makeCallRecord (resolved.input, contentHashOf (exchange.request()));
 
-    if (const auto earlier = state.requests.add (record, wanted.key))
+    if (const auto earlier = state.requests.add (record, resolved.key))
     {
         if (earlier->identity().contentHash != record->identity().contentHash)
         {
             co_await respondProblem (state, exchange, makeProblem (ErrorKind::keyConflict),
-                                     toString (wanted.input.id));
+                                     toString (resolved.input.id));
             co_return;
         }
 
@@ -265,7 +266,7 @@
     else
     {
         asio::co_spawn (worker.loop,
-                        runKeyed (state, worker, std::move (wanted.input), record, std::move (admitted)),
+                        runKeyed (state, worker, std::move (resolved.input), record, std::move (admitted)),
                         asio::detached);
     }
 
@@ -276,18 +277,18 @@
 auto relayOnce (RouterState& state,
                 Worker& worker,
                 Exchange& exchange,
-                WantedCall wanted,
+                ResolvedCall resolved,
                 bool isForwarded,
-                std::shared_ptr<AdmittedRequest> admitted) -> Task<void>
+                std::shared_ptr<AccountAdmission> admitted) -> Task<void>
 {
     OnceCall call;
-    call.input = wanted.input;
-    call.key = *parseUuid (wanted.key);
+    call.input = resolved.input;
+    call.key = *parseUuid (resolved.key);
     call.contentHash = contentHashOf (exchange.request());
     call.received = exchange.request();
     call.isForwarded = isForwarded;
 
-    KeyedRun run = [&state, &worker, input = std::move (wanted.input),
+    KeyedRun run = [&state, &worker, input = std::move (resolved.input),
                     held = std::move (admitted)] (std::shared_ptr<RequestRecord> record)
     { return runKeyed (state, worker, input, std::move (record), held); };
 
@@ -298,47 +299,47 @@
 
 auto handlePlain (RouterState& state, Worker& worker, Exchange& exchange, CallerScope scope) -> Task<void>
 {
-    auto read = readWanted (state, exchange, scope);
+    auto resolution = resolveRequest (state, exchange, scope);
 
-    if (const auto* problem = std::get_if<Problem> (&read))
+    if (const auto* problem = std::get_if<Problem> (&resolution))
     {
         co_await respondProblem (state, exchange, *problem, toString (scope.id));
         co_return;
     }
 
-    auto& wanted = std::get<WantedCall> (read);
+    auto& resolved = std::get<ResolvedCall> (resolution);
 
     // A keyed call may have run before under its key: what its key says of that comes first.
-    const auto stopped = wanted.key.empty()
-                             ? stoppedAtOnce (state, wanted.input.fingerprint, toString (scope.id))
+    const auto refusal = resolved.key.empty()
+                             ? checkCrashVerdict (state, resolved.input.fingerprint, toString (scope.id))
                              : std::nullopt;
 
-    if (stopped)
+    if (refusal)
     {
-        co_await respondProblem (state, exchange, *stopped, toString (scope.id));
+        co_await respondProblem (state, exchange, *refusal, toString (scope.id));
         co_return;
     }
 
     // The router that sent it on has counted it already.
     const auto isForwarded = signingPeer (state, exchange.request()).has_value();
-    std::optional<Problem> notAdmitted;
+    std::optional<Problem> admissionProblem;
     auto admitted =
-        isForwarded ? nullptr : std::make_shared<AdmittedRequest> (state, *scope.account, notAdmitted);
+        isForwarded ? nullptr : std::make_shared<AccountAdmission> (state, *scope.account, admissionProblem);
 
-    if (notAdmitted)
+    if (admissionProblem)
     {
-        co_await respondProblem (state, exchange, *notAdmitted, toString (scope.id));
+        co_await respondProblem (state, exchange, *admissionProblem, toString (scope.id));
         co_return;
     }
 
     const CallInProgress inProgress (state);
 
-    if (wanted.key.empty())
-        co_await relayDirectly (state, worker, exchange, wanted.input);
-    else if (! wanted.input.repeatable)
-        co_await relayOnce (state, worker, exchange, std::move (wanted), isForwarded, std::move (admitted));
+    if (resolved.key.empty())
+        co_await relayUnkeyed (state, worker, exchange, resolved.input);
+    else if (! resolved.input.repeatable)
+        co_await relayOnce (state, worker, exchange, std::move (resolved), isForwarded, std::move (admitted));
     else
-        co_await relayKeyed (state, worker, exchange, std::move (wanted), std::move (admitted));
+        co_await relayKeyed (state, worker, exchange, std::move (resolved), std::move (admitted));
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/resume/ResumeHandler.cpp
+++ b/modules/snowrudder_router/resume/ResumeHandler.cpp
@@ -58,8 +58,8 @@
     if (first != nullptr && co_await relayFromPeer (state, worker, exchange, *first))
         co_return true;
 
-    for (const auto* heir : heirsOf (state, id))
-        if (co_await relayFromPeer (state, worker, exchange, *heir))
+    for (const auto* successor : successorsOf (state, id))
+        if (co_await relayFromPeer (state, worker, exchange, *successor))
             co_return true;
 
     co_return false;
--- a/modules/snowrudder_router/state/OnceState.h
+++ b/modules/snowrudder_router/state/OnceState.h
@@ -10,7 +10,7 @@
 {
 
 /** A slot's table that a leaving router handed over, until the platform's record names this router as its owner. */
-struct Inheritance
+struct HandedSlotTable
 {
     std::uint64_t epoch = 0;
     WallTime knownSince {};
@@ -30,7 +30,7 @@
     /** This router's lease, and until when it may act on it by its own clock. */
     std::uint64_t lease = 0;
     std::optional<TimePoint> leaseEnd;
-    std::map<std::uint32_t, Inheritance> inheritances;
+    std::map<std::uint32_t, HandedSlotTable> handedSlotTables;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/state/RouterState.h
+++ b/modules/snowrudder_router/state/RouterState.h
@@ -32,7 +32,7 @@
           crashes (metrics, replicas, ReplicaNaming::places),
           requests (timeouts.keepAnswer,
                     routerSettings.has_kept_answer_bytes() ? routerSettings.kept_answer_bytes()
-                                                           : usualKeptBytes),
+                                                           : defaultKeptBytes),
           once (slotTimes (routerSettings))
     {
     }
@@ -61,13 +61,13 @@
     }
 
     /** The tree in force with its text. */
-    struct HeldTree
+    struct CurrentTree
     {
         std::uint64_t revision = 0;
         std::shared_ptr<const std::string> text;
     };
 
-    [[nodiscard]] auto heldTree() const -> HeldTree
+    [[nodiscard]] auto currentTree() const -> CurrentTree
     {
         const std::lock_guard lock (fleetMutex);
         return { fleetView->revision(), fleetText };
@@ -87,9 +87,12 @@
     }
 
     /** @returns whether the balancer may send callers here. */
-    [[nodiscard]] auto isReady() const -> bool { return hasTree && hasReplicas && hasOwners && ! leaving; }
+    [[nodiscard]] auto isReady() const -> bool
+    {
+        return hasTree && hasReplicas && hasSlotOwners && ! leaving;
+    }
 
-    static constexpr auto usualKeptBytes = std::size_t { 16 * 1024 * 1024 };
+    static constexpr auto defaultKeptBytes = std::size_t { 16 * 1024 * 1024 };
 
     const schema::RouterSettings settings;
     const RouterTimeouts timeouts;
@@ -109,7 +112,7 @@
     /** Set once every key slot was seen with a living owner: until then keyed calls would wait. It stays set, for an
         outage of the platform must not make all routers unready at once.
     */
-    std::atomic<bool> hasOwners { false };
+    std::atomic<bool> hasSlotOwners { false };
     std::atomic<bool> leaving { false };
     /** Below 0 while there is no notice. */
     std::atomic<std::int64_t> noticeMilliseconds { -1 };
