--- a/modules/snowrudder_router/Router.cpp
+++ b/modules/snowrudder_router/Router.cpp
@@ -21,7 +21,7 @@
 
 constexpr auto defaultWorkers = std::uint32_t { 2 };
 
-/** The balancer needs this long to see that a router is no longer ready. */
+/** Time that the load balancer needs to detect that a router is no longer ready. */
 constexpr auto balancerDelay = 1s;
 
 auto workerCount (const schema::RouterSettings& settings) -> std::uint32_t
@@ -107,7 +107,8 @@
         .info();
     const auto drainEnd = SteadyClock::now() + drainTime;
 
-    // The balancer goes on sending callers here until it has seen /readyz. Slots go first: the heir needs no wait.
+    // The load balancer sends requests here until it has polled /readyz. Slots are handed over before that wait, as their
+    // successors needn't wait for the load balancer.
     co_await handOverSlots (state, worker);
     asio::steady_timer timer (worker.loop, std::min<Duration> (balancerDelay, drainTime / 2));
     co_await timer.async_wait (asTuple);
@@ -119,7 +120,7 @@
 
     co_await handOverRequests (state, worker);
 
-    // Callers whose requests were handed over are told so before the process ends.
+    // Leaves time to inform the callers whose requests were handed over before the process ends.
     timer.expires_after (isIdle ? 0ms : 200ms);
     co_await timer.async_wait (asTuple);
 
@@ -135,7 +136,8 @@
     auto& loop = workers.front().loop;
     asio::signal_set signals (loop, SIGTERM, SIGINT);
     asio::steady_timer timer (loop);
-    // After a notice this coroutine ends before the wait for a signal does: what the wait writes to must outlive both.
+    // Shared, because after a reclaim notice this coroutine's frame is freed before the wait for a signal completes and writes
+    // to the flag.
     const auto isStopRequested = std::make_shared<bool> (false);
     signals.async_wait ([isStopRequested] (boost::system::error_code error, int)
                         { *isStopRequested = ! error; });
@@ -145,7 +147,8 @@
         if (*isStopRequested)
             co_return state.timeouts.drain;
 
-        // A notice leaves seconds; what does not end in the first half of them is handed over in the second.
+        // A reclaim notice leaves only seconds. Requests that don't finish in the first half of the time are handed over in
+        // the second.
         if (const auto notice = state.reclaimNotice(); notice)
             co_return std::min<Duration> (state.timeouts.drain, *notice / 2);
 
--- a/modules/snowrudder_router/Router.h
+++ b/modules/snowrudder_router/Router.h
@@ -10,23 +10,23 @@
 namespace snowrudder
 {
 
-/** One router process: its workers, its listeners, and a planned stop. */
+/** A router process: its workers, its listeners and its graceful shutdown. */
 class Router
 {
 public:
     explicit Router (const schema::RouterSettings& settings);
 
-    /** Ends what still waits in the loops while all that it refers to is there: see "What outlives what" in
-        docs/ARCHITECTURE.md.
+    /** Destroys the coroutines that still wait in the event loops before the state that they refer to. See "What outlives
+        what" in docs/ARCHITECTURE.md.
     */
     ~Router();
 
     Router (const Router&) = delete;
     auto operator= (const Router&) -> Router& = delete;
 
-    /** Serves until a planned stop (SIGTERM or SIGINT) has ended.
+    /** Serves until a shutdown, by SIGTERM, SIGINT or a reclaim notice, is complete.
 
-        @returns an error when the address can't be listened on
+        @returns an error if the address can't be listened on
     */
     auto run() -> std::error_code;
 
@@ -36,12 +36,12 @@
     auto stopOnRequest() -> Task<void>;
     /** Waits for a signal or a reclaim notice.
 
-        @returns how long requests in flight may take to end by themselves
+        @returns the drain time: how long requests in flight may take to finish
     */
     auto waitForStopRequest() -> Task<Duration>;
     auto waitUntilIdle (TimePoint end) -> Task<bool>;
 
-    /** Destroyed last: sockets, timers and signals of the members below belong to its loops. */
+    /** Declared first, to be destroyed last: sockets, timers and signals of the members below belong to its loops. */
     WorkerPool pool;
     RouterState state;
     std::deque<Worker> workers;
--- a/modules/snowrudder_router/background/LoadWatcher.h
+++ b/modules/snowrudder_router/background/LoadWatcher.h
@@ -5,8 +5,8 @@
 namespace snowrudder
 {
 
-/** Asks each replica for its load, again and again. A replica that says that it leaves gets nothing new; one whose
-    connection is refused is suspended.
+/** Polls the load of every replica. A replica that reports that it is leaving gets no new requests; one that refuses the
+    connection is suspended. Never returns.
 */
 auto watchLoads (RouterState& state, Worker& worker) -> Task<void>;
 
--- a/modules/snowrudder_router/background/PlatformFollower.cpp
+++ b/modules/snowrudder_router/background/PlatformFollower.cpp
@@ -13,13 +13,13 @@
 constexpr auto maxBackOff = 5s;
 constexpr auto listInterval = 1s;
 
-/** Doubles a pause after each failure. */
+/** @returns the back-off after another failure: twice the previous one, up to a maximum. */
 auto nextBackOff (Duration backOff) -> Duration
 {
     return std::min<Duration> (backOff * 2, maxBackOff);
 }
 
-/** The VM list tells this router of its own VM's reclaim too. */
+/** Records a reclaim notice of this router's own VM, if the VM list shows one. */
 auto recordOwnNotice (RouterState& state, const std::vector<Vm>& vms) -> void
 {
     for (const auto& vm : vms)
--- a/modules/snowrudder_router/background/PlatformFollower.h
+++ b/modules/snowrudder_router/background/PlatformFollower.h
@@ -7,15 +7,15 @@
 namespace snowrudder
 {
 
-/** Keeps the operators' tree in force as the platform holds it. Runs on one worker for as long as the router does. */
+/** Watches the settings tree in the platform's key-value service and puts each new revision in force. Never returns. */
 auto followTree (RouterState& state, Worker& worker) -> Task<void>;
 
-/** Keeps the list of replicas as the platform's VM list gives it. */
+/** Polls the platform's VM list and updates the replicas, and the reclaim notice of this router's own VM. Never returns. */
 auto followVmList (RouterState& state, Worker& worker) -> Task<void>;
 
-/** Puts a tree in force when it is valid and newer; tells the log otherwise.
+/** Puts a settings tree in force if it is newer and valid. Errors in it are logged.
 
-    @returns whether it is in force now
+    @returns whether it was put in force
 */
 auto adoptTree (RouterState& state, const std::string& text, std::uint64_t revision) -> bool;
 
--- a/modules/snowrudder_router/background/Sweep.cpp
+++ b/modules/snowrudder_router/background/Sweep.cpp
@@ -10,8 +10,8 @@
 
 constexpr auto sweepInterval = 100ms;
 
-/** @returns the replicas that are listed and not leaving: looked up once for all open requests. The list is renewed on
-    this same loop, so that no replica can be added while a sweep uses the result.
+/** @returns the replicas that are listed and not leaving, collected once per sweep for all open requests. The list is
+    updated on the same event loop, so that no replica can be added while a sweep uses the result.
 */
 auto remainingReplicas (RouterState& state) -> std::set<ReplicaNumber>
 {
--- a/modules/snowrudder_router/background/Sweep.h
+++ b/modules/snowrudder_router/background/Sweep.h
@@ -5,8 +5,9 @@
 namespace snowrudder
 {
 
-/** Looks over all open requests several times a second: ends those whose caller went for good or whose time is over,
-    moves those whose replica leaves, drops answers kept long enough, and sets the queues' windows.
+/** Checks all open requests several times a second. Ends those whose caller has not resumed in time or whose deadline has
+    passed, moves those whose replica is leaving, drops expired answers, and updates the capacity of the queues. Never
+    returns.
 */
 auto sweepRequests (RouterState& state, Worker& worker) -> Task<void>;
 
--- a/modules/snowrudder_router/gateway/CallerScope.cpp
+++ b/modules/snowrudder_router/gateway/CallerScope.cpp
@@ -110,7 +110,7 @@
 
 auto queueDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint
 {
-    // The latency target of 1.6 s to the first token leaves this much for the queue (letter 1).
+    // The latency target of 1.6 s to the first token leaves this much time for the queue.
     constexpr auto defaultMaxWait = std::chrono::milliseconds (1200);
     const auto& settings = service.settings;
     const auto maxWait = settings.has_longest_wait_milliseconds()
--- a/modules/snowrudder_router/gateway/CallerScope.h
+++ b/modules/snowrudder_router/gateway/CallerScope.h
@@ -10,7 +10,7 @@
 namespace snowrudder
 {
 
-/** One caller's request once its account is known. */
+/** A caller's request after its client account has been identified. */
 struct CallerScope
 {
     RequestId id;
@@ -18,29 +18,32 @@
     std::shared_ptr<const AccountView> account;
 };
 
-/** Answers with a problem and counts it.
+/** Responds with a problem and counts it as an error.
 
-    @param requestId  may be empty
+    @param requestId  the request's identifier; may be empty
 */
 auto respondProblem (RouterState& state,
                      Exchange& exchange,
                      const Problem& problem,
                      std::string_view requestId) -> Task<void>;
 
-/** @returns the same answer for what never became a request. */
+/** Counts an error on a connection that got no valid request.
+
+    @returns the response to it
+*/
 auto rejectionResponse (RouterState& state, ErrorKind kind) -> HttpResponse;
 
-/** Reads `Idempotency-Key`: empty where the caller gave none.
+/** Reads the header `Idempotency-Key`.
 
-    @returns a problem when it is no UUIDv7
+    @returns the key, empty if there is no such header; a problem if it is not a UUID of version 7
 */
 auto readIdempotencyKey (const Exchange& exchange) -> std::variant<std::string, Problem>;
 
-/** Counts an account's request in, and out again at its end. */
+/** Admits a request under the limits of its client account, and counts it as concurrent until destroyed. */
 class AccountAdmission
 {
 public:
-    /** @param problem  set when the account's limits don't allow the request */
+    /** @param problem  set if the account's limits don't allow the request */
     AccountAdmission (RouterState& routerState,
                       const AccountView& accountView,
                       std::optional<Problem>& problem);
@@ -55,11 +58,14 @@
     bool admitted = false;
 };
 
-/** @returns why a request is refused as it comes, where it ended the replicas that ran it. */
+/** Checks whether a new request is stopped because replicas crashed when they ran it.
+
+    @returns the problem to respond with; nothing if the request may be sent
+*/
 auto checkCrashVerdict (RouterState& state, const RequestFingerprint& fingerprint, std::string_view requestId)
     -> std::optional<Problem>;
 
-/** @returns a problem for a request that got no place in the queue. */
+/** @returns the problem for a request that was not admitted to a service's queue, or left it without a permit. */
 auto overloadProblem (const ServiceQueues::Place& permit) -> Problem;
 
 /** Writes the log line of a routing decision. */
@@ -68,13 +74,13 @@
                          const TakenReplica& taken,
                          std::uint32_t attempt) -> void;
 
-/** @returns until when a request may wait for its turn before a service's upstreams.
+/** @returns the point in time until which a request may wait in a service's queue.
 
-    @param deadline  of the whole request
+    @param deadline  deadline of the whole request
 */
 auto queueDeadline (const ServiceView& service, TimePoint now, TimePoint deadline) -> TimePoint;
 
-/** @returns the weights of a service's choices, from its settings. */
+/** @returns the weights for choosing a replica of a service: the defaults, overridden by the service's settings. */
 auto choiceWeights (const ServiceView& service) -> ChoiceWeights;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/gateway/Gateway.cpp
+++ b/modules/snowrudder_router/gateway/Gateway.cpp
@@ -15,7 +15,10 @@
 constexpr auto requestsPrefix = std::string_view ("/v1/requests/");
 constexpr auto servicesPrefix = std::string_view ("/services/");
 
-/** Answers the balancer's and the metrics collector's questions, which need no account. */
+/** Handles the health checks of the load balancer and the requests of the metrics collector, which need no client account.
+
+    @returns whether the request was one of these
+*/
 auto answerProbe (RouterState& state, Exchange& exchange) -> Task<bool>
 {
     const auto path = exchange.path();
@@ -43,7 +46,10 @@
     co_return false;
 }
 
-/** What is wrong with a request before its path is looked at. */
+/** Identifies the client account of a request and fills in its scope.
+
+    @returns a problem if there is no settings tree yet or the key is not valid
+*/
 auto checkCaller (const RouterState& state, const Exchange& exchange, CallerScope& scope)
     -> std::optional<Problem>
 {
@@ -113,7 +119,7 @@
 
     state.counts.requests.add();
 
-    // The balancer is told to go elsewhere, and so is a caller that keeps its connection.
+    // `/readyz` already directs the load balancer elsewhere; closing makes callers with persistent connections move too.
     if (state.leaving)
         exchange.closeAfter();
 
--- a/modules/snowrudder_router/gateway/Gateway.h
+++ b/modules/snowrudder_router/gateway/Gateway.h
@@ -7,7 +7,9 @@
 namespace snowrudder
 {
 
-/** Answers one request of a caller or of the balancer: finds its account and hands it to what handles its path. */
+/** Handles one HTTP request of a caller, the load balancer or another node: identifies the caller's client account and
+    dispatches the request by its path.
+*/
 auto handleExchange (RouterState& state, Worker& worker, Exchange& exchange) -> Task<void>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/model/ChatHandler.cpp
+++ b/modules/snowrudder_router/model/ChatHandler.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** What a chat request turned out to ask for. */
+/** A valid chat request with the service that offers its model and its idempotency key. */
 struct ResolvedChat
 {
     ChatRequest request;
@@ -87,7 +87,8 @@
 
     const auto record = makeRecord (scope, resolved, exchange);
 
-    // Made before the record can be found: it keeps the caller's request, without which a leaving router hands nothing over.
+    // Created before the record is added to the table: the constructor stores the caller's request in the record, and a
+    // router that leaves can't hand over a record without its request.
     const auto run = std::make_shared<ModelRun> (state, worker, record, std::move (resolved.request),
                                                  scope.account, std::move (resolved.service));
 
@@ -114,7 +115,7 @@
         co_return;
     }
 
-    // The whole request lives on in the run; the connection need not keep it too.
+    // The run holds the parsed request, so that the connection doesn't need the body any longer.
     exchange.request().body() = {};
 
     run->start (std::move (admitted));
--- a/modules/snowrudder_router/model/ChatHandler.h
+++ b/modules/snowrudder_router/model/ChatHandler.h
@@ -5,10 +5,10 @@
 namespace snowrudder
 {
 
-/** Answers `POST /v1/chat/completions`. */
+/** Handles `POST /v1/chat/completions`. */
 auto handleChat (RouterState& state, Worker& worker, Exchange& exchange, CallerScope scope) -> Task<void>;
 
-/** Answers `GET /v1/models`: the models that the caller's account may use. */
+/** Handles `GET /v1/models`: lists the models that the caller's client account may use. */
 auto handleModels (RouterState& state, Exchange& exchange, CallerScope scope) -> Task<void>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -8,7 +8,9 @@
 namespace
 {
 
-/** An engine faster than this has its tokens passed on a few at a time: each read and write is a system call. */
+/** Minimum time between two reads from an engine. Tokens that arrive faster are relayed several at a time, because each
+    read and write is a system call.
+*/
 constexpr auto minReadInterval = 4ms;
 
 constexpr auto chatTarget = std::string_view ("/v1/chat/completions");
@@ -16,7 +18,7 @@
 constexpr auto cacheMoveTimeout = 500ms;
 constexpr auto maxCacheListBytes = std::size_t { 4 * 1024 * 1024 };
 
-/** @returns an engine's own words in an error body, shortened. */
+/** @returns the error message in an engine's response body, shortened; a default text if the body has none. */
 auto upstreamMessage (const std::string& body) -> std::string
 {
     constexpr auto maxLength = std::size_t { 200 };
@@ -54,7 +56,8 @@
     const auto prompt = promptText (request->body);
     blocks = promptBlocks (prompt, account->name);
     promptTokens = estimateTokens (prompt.size());
-    // As another router reads it that takes the request over.
+    // Serialized in the same way as for a handover, so that a router that takes the request over computes the same
+    // fingerprint.
     const auto body = json::serialize (request->body);
     fingerprint = fingerprintOf (state.settings.node_secret(),
                                  { account->name, "POST", service->name, chatTarget, body });
@@ -173,7 +176,7 @@
 
     if (! taken)
     {
-        // All have been tried: the next attempt may try them again.
+        // Every replica has been tried: the next attempt may use them again.
         tried.clear();
         lastReplica = {};
         co_return AttemptOutcome { CallStage::planned, FailureCause::noReplica };
@@ -289,7 +292,7 @@
             {
                 auto outcome = processEvent (std::move (*event), ticket);
 
-                // The engine's last bytes are read too, so that the connection can be used again.
+                // Reads the response to its end, so that the connection can be reused.
                 std::string rest;
                 co_await call.readRest (rest, maxEventBytes);
                 co_return outcome;
@@ -314,7 +317,7 @@
         return {};
     }
 
-    // An end without a reason is no whole answer.
+    // A stream that ends without a finish reason is incomplete.
     if (std::holds_alternative<StreamError> (event) || finishReason.empty())
         return AttemptOutcome { CallStage::answering, FailureCause::failed };
 
@@ -477,7 +480,8 @@
 
 auto ModelRun::enginePriority() const -> std::uint32_t
 {
-    // Behind every account that has less than its share; among those over it the accounts' own priorities hold.
+    // Requests of accounts above their fair share come after those of all other accounts. Within each of the two groups the
+    // accounts' own priorities apply.
     constexpr auto overShare = std::uint32_t { 10 };
     return account->priority + (isOverShare ? overShare : 0);
 }
--- a/modules/snowrudder_router/model/ModelRun.h
+++ b/modules/snowrudder_router/model/ModelRun.h
@@ -12,9 +12,9 @@
 namespace snowrudder
 {
 
-/** Makes the answer of one accepted model request: waits for its turn, chooses a replica, takes the engine's stream
-    into the record, and goes on elsewhere when the replica is lost or leaves. It runs apart from the caller's
-    connection, so that the caller may come back.
+/** Produces the answer of one accepted model request: waits in the service's queue, chooses a replica, writes the
+    engine's stream into the record, and continues on another replica when the replica fails or leaves. It runs
+    independently of the caller's connection, so that the caller can disconnect and resume.
 */
 class ModelRun : public std::enable_shared_from_this<ModelRun>
 {
@@ -28,16 +28,16 @@
               std::shared_ptr<const AccountView> accountView,
               std::shared_ptr<const ServiceView> serviceView);
 
-    /** Goes on with an answer that another router began.
+    /** Continues an answer that another router began. Call it before `start`.
 
-        @param first         the first attempt's counts
-        @param answerTokens  tokens that the record holds already
+        @param first         token counts of the first attempt
+        @param answerTokens  number of answer tokens that the record already holds
     */
     auto continueFrom (const Usage& first, std::uint32_t answerTokens) -> void;
 
-    /** Starts the run on the worker's loop; it ends by itself, the record finished or failed.
+    /** Starts the run on the worker's loop. The run ends on its own, with the record finished or failed.
 
-        @param admitted  the account's admission, held for as long as the run lasts
+        @param admitted  admission of the client account, held until the run ends
     */
     auto start (std::shared_ptr<AccountAdmission> admitted) -> void;
 
@@ -84,10 +84,10 @@
     std::uint32_t attempts = 0;
     AttemptCount failures;
     bool mayHaveRun = false;
-    /** Whether the account had more than its share when the attempt began. */
+    /** Whether the client account was above its fair share of the queue when the attempt began. */
     bool isOverShare = false;
 
-    /** Answer tokens from earlier attempts, and from the one in progress. */
+    /** Number of answer tokens from previous attempts, and from the current one. */
     std::uint32_t previousTokens = 0;
     std::uint32_t attemptTokens = 0;
     std::optional<Usage> firstUsage;
@@ -95,15 +95,15 @@
     std::string finishReason;
     TimePoint lastToken {};
 
-    /** Cache blocks that the replica left behind gave out, as JSON for the next one. */
+    /** Cache blocks exported by the previous replica, as JSON, to be imported by the next one. */
     std::string exportedCache;
 
-    /** The replica of the present attempt. */
+    /** The replica of the current attempt. */
     ReplicaNumber lastReplicaNumber = 0;
     ReplicaInfo lastReplica;
     UpstreamCall* currentCall = nullptr;
     std::optional<FailureCause> interruptCause;
-    /** An upstream's own words on a request that it can't take. */
+    /** The problem that an upstream reported about the request itself. */
     std::optional<Problem> upstreamProblem;
     std::shared_ptr<Signal> signal;
     asio::steady_timer readTimer;
--- a/modules/snowrudder_router/model/RecordRelay.cpp
+++ b/modules/snowrudder_router/model/RecordRelay.cpp
@@ -6,10 +6,10 @@
 namespace
 {
 
-/** A comment line this often keeps quiet streams open through the platform's balancer. */
+/** Interval of comment lines on an idle stream. They prevent the platform's load balancer from closing it. */
 constexpr auto keepAliveInterval = 15s;
 
-/** Counts a reader in and out. */
+/** Registers a reader of a record for its own lifetime. */
 class ReaderRegistration
 {
 public:
@@ -53,7 +53,7 @@
         const auto part = record.readStream (after, events);
         after = part.lastEvent;
 
-        // Nothing has been sent yet: a failure can still have its own status.
+        // Nothing has been sent yet, so that the failure can be reported by its HTTP status.
         if (part.state == RecordState::failed && ! exchange.hasBegun() && after == 0)
         {
             exchange.stopWatching();
@@ -61,7 +61,7 @@
             co_return;
         }
 
-        // The connection ends without the stream's end: the caller resumes by the identifier, at any router.
+        // Closes the connection without ending the stream: the caller resumes by the request identifier, at any router.
         if (events.empty() && part.state == RecordState::handedOver)
             co_return;
 
--- a/modules/snowrudder_router/model/RecordRelay.h
+++ b/modules/snowrudder_router/model/RecordRelay.h
@@ -7,10 +7,10 @@
 namespace snowrudder
 {
 
-/** Hands a record's answer to a caller: streamed from an event on, or whole once it is made. Ends early when the
-    caller goes; the record goes on.
+/** Sends a record's answer to a caller: as a stream that starts after a given event, or whole once it is complete.
+    Returns early when the caller disconnects; the record is still completed.
 
-    @param after  the last event that the caller has; 0 for all
+    @param after  number of the last event that the caller has received; 0 for none
 */
 auto relayRecord (RouterState& state,
                   Exchange& exchange,
--- a/modules/snowrudder_router/model/RequestHandover.cpp
+++ b/modules/snowrudder_router/model/RequestHandover.cpp
@@ -43,9 +43,9 @@
     return message;
 }
 
-/** Offers a request to its heirs, one after the other.
+/** Offers a request to its successors, one after the other.
 
-    @returns the heir that took it, or an empty text
+    @returns the name of the successor that accepted it; empty if none did
 */
 auto offerToSuccessors (RouterState& state,
                         Worker& worker,
@@ -83,8 +83,8 @@
         .write (successor.empty() ? LogLevel::warning : LogLevel::info);
 }
 
-/** @returns the record of a request that is handed over, with the part of its answer made so far; nothing where that part makes
-    no sense.
+/** @returns the record of a request that is handed over, with the part of its answer produced so far; nullptr if that part is
+    malformed.
 */
 auto restoreRecord (const schema::HandedRequest& message, const RequestId& id, const ChatRequest& request)
     -> std::shared_ptr<RequestRecord>
@@ -117,7 +117,8 @@
 
 auto handOverRequests (RouterState& state, Worker& worker) -> Task<void>
 {
-    // All at once: a notice leaves seconds. Answers that are whole go too where their callers have not read them to the end.
+    // Hands over all requests concurrently, as a reclaim notice leaves only seconds. This includes complete answers that their
+    // callers have not read to the end.
     const auto records = state.requests.all();
     const auto handOverOne = [&] (std::size_t index) { return handOver (state, worker, records[index]); };
     co_await runAll (worker.loop, records.size(), handOverOne);
@@ -162,7 +163,7 @@
                                message.answer_tokens());
     }
 
-    // The same request handed over twice is taken once.
+    // A request that is handed over twice is accepted once.
     if (state.requests.addHanded (record) != record)
         return true;
 
--- a/modules/snowrudder_router/model/RequestHandover.h
+++ b/modules/snowrudder_router/model/RequestHandover.h
@@ -7,14 +7,14 @@
 namespace snowrudder
 {
 
-/** Hands every open model request to an heir in another failure domain, which goes on with it. Callers find it there
-    by its identifier, through any router.
+/** Hands every open model request over to a successor, which continues it; routers in other failure domains come first.
+    Callers can resume it by its identifier at any router.
 */
 auto handOverRequests (RouterState& state, Worker& worker) -> Task<void>;
 
-/** Takes a request that a leaving router hands over, and goes on with it.
+/** Accepts a request that a leaving router hands over, and continues it.
 
-    @returns false when the message makes no sense or the request can't go on here
+    @returns false if the message is malformed or the request can't be continued here
 */
 auto acceptHandedRequest (RouterState& state, Worker& worker, const std::string& message) -> bool;
 
--- a/modules/snowrudder_router/once/OnceHandler.cpp
+++ b/modules/snowrudder_router/once/OnceHandler.cpp
@@ -9,28 +9,30 @@
 namespace
 {
 
-/** An owner is looked for this long: a handover or a claim takes less. */
+/** Maximum time to find the owner of a key. A handover or a claim of a slot takes less. */
 constexpr auto ownerSearchTimeout = 5s;
 constexpr auto ownerSearchInterval = 150ms;
 
-/** An owner that has not answered for this long is asked again, if it still is the owner: it may be paused. */
+/** An owner that does not respond within this time may be paused. The request is sent again, to whichever router owns
+    the key then.
+*/
 constexpr auto ownerResponseTimeout = 2s;
 
-/** What asking an owner came to. */
+/** Result of forwarding a call to the key's owner. */
 enum class OwnerResponse
 {
     answered,
-    /** It can't be reached, or says that it is no owner. */
+    /** The router can't be reached, or responds that it doesn't own the key. */
     noOwner,
-    /** It took the question and has not answered yet. */
+    /** The request was sent, but the response timed out. */
     slow
 };
 
-/** Decides about a call.
+/** Decides how to handle a call, from the state of its key.
 
-    @param record  where its answer is made, should it be made here. It goes into the table together with the key: looked up
-                   elsewhere once the key was seen, it was missing for those who came in between the two, and they were told that
-                   the answer is no longer kept (8 of 12 callers with 20 ms between the two).
+    @param record  receives the answer if the call is made here. It is added to the key table together with the key: if it
+                   were added elsewhere in a second step, concurrent callers that find the key but no record would be
+                   answered that the answer is no longer kept (8 of 12 callers with 20 ms between the two steps).
 */
 auto decide (RouterState& state, const OnceCall& call, const std::shared_ptr<RequestRecord>& record)
     -> KeyDecision
@@ -41,7 +43,7 @@
     return state.once.table.decide (entry, SteadyClock::now(), wallTimeNow(), state.once.leaseEnd);
 }
 
-/** @returns where a living owner other than this router takes callers, or an empty text. */
+/** @returns the endpoint of the key's owner if that is another router with a valid lease; empty otherwise. */
 auto ownerEndpoint (RouterState& state, const OnceCall& call) -> std::string
 {
     const std::lock_guard lock (state.once.mutex);
@@ -50,7 +52,7 @@
     return isOther ? record->endpoint : std::string();
 }
 
-/** Makes the call, and notes in the key table how it ended. */
+/** Makes the call and records its outcome in the key table. */
 auto runAndRecord (RouterState& state,
                    std::shared_ptr<RequestRecord> record,
                    std::string account,
@@ -94,9 +96,10 @@
     co_await respondProblem (state, exchange, problem, toString (call.input.id));
 }
 
-/** Asks the key's owner. The call may be asked for again as often as needed: the owner runs it once.
+/** Forwards a call to the key's owner and relays the answer to the caller. This can be repeated, as the owner runs the
+    call at most once.
 
-    @returns `answered` once the caller has its answer
+    @returns `answered` if the answer has been relayed to the caller
 */
 auto forwardToOwner (RouterState& state,
                      Worker& worker,
@@ -144,9 +147,9 @@
     co_return OwnerResponse::answered;
 }
 
-/** Answers where the decision alone tells what to say.
+/** Responds to the caller if the verdict alone determines the response.
 
-    @returns whether it did
+    @returns whether it responded
 */
 auto respondToVerdict (RouterState& state,
                        Exchange& exchange,
@@ -215,7 +218,8 @@
         if (ownerResponse == OwnerResponse::slow)
             end = std::min (SteadyClock::now() + ownerSearchTimeout, call.input.deadline);
 
-        // A router that was asked as the owner and is none says so at once; the one that asked looks again.
+        // A router that gets a forwarded call and doesn't own the key responds so at once. The router that forwarded the call
+        // searches for the owner again.
         if (call.isForwarded || SteadyClock::now() >= end)
             break;
 
--- a/modules/snowrudder_router/once/OnceHandler.h
+++ b/modules/snowrudder_router/once/OnceHandler.h
@@ -5,23 +5,23 @@
 namespace snowrudder
 {
 
-/** A keyed call that may run once. */
+/** A call with an idempotency key that may run at most once. */
 struct OnceCall
 {
     PlainCallInput input;
     Uuid key;
     std::uint64_t contentHash = 0;
-    /** The caller's request as it came, for the router that owns the key. */
+    /** The caller's unchanged request, to be forwarded to the router that owns the key. */
     HttpRequest received;
-    /** Whether another router sent it here as the key's owner. */
+    /** Whether another router forwarded the call to this one as the key's owner. */
     bool isForwarded = false;
 };
 
-/** Makes a keyed call's answer and keeps it; ends the record. */
+/** Makes a call with an idempotency key and stores the answer in the record, which ends as finished or failed. */
 using KeyedRun = std::function<auto(std::shared_ptr<RequestRecord>)->Task<void>>;
 
-/** Answers a keyed call that may run once: makes it when this router owns its key and the key is new, gives the
-    answer of the first call when there is one, or asks the owner.
+/** Handles a call with an idempotency key that may run at most once. Makes the call if this router owns the key and the
+    key is new, returns the answer of the first call if there is one, or forwards the call to the key's owner.
 
     @param run  makes the call
 */
--- a/modules/snowrudder_router/once/SlotHandover.cpp
+++ b/modules/snowrudder_router/once/SlotHandover.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto maxHandedAnswerBytes = std::size_t { 64 * 1024 };
 
-/** One heir and what it is to get. */
+/** A successor and the slots that it receives. */
 struct SuccessorShare
 {
     std::string name;
@@ -41,7 +41,7 @@
     handed.mutable_answer()->set_body (answer->body);
 }
 
-/** Waits until no keyed call runs in any slot of ours, or until a point in time. */
+/** Waits until no call with an idempotency key is running in any slot of this router, or until a point in time. */
 auto waitForKeyedCalls (RouterState& state, Worker& worker, TimePoint until) -> Task<void>
 {
     while (SteadyClock::now() < until)
@@ -62,7 +62,7 @@
     }
 }
 
-/** Freezes all slots and divides them among the routers with living leases. */
+/** Freezes all slots and divides them among the routers with valid leases. */
 auto divideSlots (RouterState& state) -> std::map<std::string, SuccessorShare>
 {
     std::map<std::string, SuccessorShare> shares;
@@ -110,7 +110,7 @@
         toHandedKey (entry, *handed.add_keys());
 }
 
-/** Makes the heir the owner in the platform's record. */
+/** Makes the successor the owner of a slot in the platform's record. */
 auto writeSuccessor (RouterState& state,
                      PlatformClient& platform,
                      const SuccessorShare& share,
@@ -133,7 +133,8 @@
     const auto written =
         co_await platform.swap (slotKey (handed.slot()), expected, toText (record), 0, "slots");
 
-    // Callers that still ask here are sent on: this router reads no listing any more.
+    // Updates the local view too, so that later calls are forwarded to the successor: a leaving router no longer reads the
+    // slot listing.
     if (written.outcome == WriteOutcome::done)
     {
         const std::lock_guard lock (state.once.mutex);
@@ -148,9 +149,9 @@
         .info();
 }
 
-/** Keeps a call's answer that the slot's last owner made, so that it can be asked for again here.
+/** Keeps the answer of a call that the slot's previous owner made, so that this router can return it again.
 
-    @returns where it is kept, or nothing
+    @returns the record that holds the answer; nullptr if the request identifier is malformed
 */
 auto keepHandedAnswer (RouterState& state, const schema::HandedKey& handed) -> std::shared_ptr<RequestRecord>
 {
@@ -166,7 +167,7 @@
     identity.deadline = identity.accepted;
     identity.contentHash = handed.content_hash();
 
-    // Apart from its count of references, as a key refers to it weakly.
+    // Allocated separately from its reference count (no make_shared), as a key keeps a weak pointer to it.
     const std::shared_ptr<RequestRecord> record = std::make_unique<RequestRecord> (std::move (identity));
     record->finish (
         KeptAnswer { handed.answer().status(), handed.answer().content_type(), handed.answer().body() });
--- a/modules/snowrudder_router/once/SlotHandover.h
+++ b/modules/snowrudder_router/once/SlotHandover.h
@@ -7,12 +7,13 @@
 namespace snowrudder
 {
 
-/** Hands all slots to their heirs and ends the lease: at a planned stop or a reclaim. */
+/** Hands all key slots over to their successors and ends the lease. Called at a planned stop or a reclaim. */
 auto handOverSlots (RouterState& state, Worker& worker) -> Task<void>;
 
-/** Takes what a leaving router hands over.
+/** Accepts the slots that a leaving router hands over. They take effect once the platform's record names this router as
+    their owner.
 
-    @returns false when the message makes no sense
+    @returns false if the message is malformed
 */
 auto acceptHandedSlots (RouterState& state, const std::string& message) -> bool;
 
--- a/modules/snowrudder_router/once/SlotKeeper.cpp
+++ b/modules/snowrudder_router/once/SlotKeeper.cpp
@@ -13,10 +13,12 @@
 constexpr auto maxWatchTimeout = 5s;
 constexpr auto retryInterval = 500ms;
 
-/** Others that start at the same time get to register their leases before the first one claims everything. */
+/** Delay between the registration of this router's lease and its first claim. It lets routers that start at the same time
+    register their leases before the first one claims all slots.
+*/
 constexpr auto claimDelay = 1s;
 
-/** The work of keeping slots, with what it remembers between its steps. */
+/** Maintains the lease and the slots, with the state between two steps. */
 class SlotKeeper
 {
 public:
@@ -49,7 +51,7 @@
     }
 
 private:
-    /** A renewal is due well before the lease ends. */
+    /** A third of the lease: leaves time to retry a renewal before the lease ends. */
     [[nodiscard]] auto renewalInterval() const -> Duration { return once.times.lease / 3; }
 
     [[nodiscard]] auto watchTimeout() const -> Duration
@@ -80,10 +82,12 @@
         co_return true;
     }
 
-    /** Brings the table in line with the records: what names this router and its lease is owned, nothing else is. */
+    /** Updates the key table from the platform's records: a slot is owned if its record names this router and its current
+        lease.
+    */
     auto adoptSlots() -> void
     {
-        // What is being handed over is not taken back by a listing that was on its way.
+        // A listing that was requested before the handover must not take back slots that are being handed over.
         if (state.leaving)
             return;
 
@@ -135,8 +139,8 @@
             co_return;
         }
 
-        // A key of this name belongs to an earlier run of this router: its lease must end first, for that run may
-        // only be paused.
+        // An owner key of this name belongs to an earlier process of this router. Its lease must end first, as that process
+        // may only be paused.
         if (isNameTaken())
             co_return;
 
@@ -154,7 +158,7 @@
             co_await resolveLease (*granted, requestedAt);
     }
 
-    /** The answer was lost: what stands there now tells. */
+    /** Reads the owner key back after a write whose response was lost, to find out whether the write took effect. */
     auto resolveLease (std::uint64_t lease, TimePoint requestedAt) -> Task<void>
     {
         const auto stored = co_await platform.read (ownerKey (name), "lease");
@@ -173,7 +177,7 @@
         const std::lock_guard lock (once.mutex);
         once.lease = lease;
         once.leaseEnd = requestedAt + once.times.lease - once.times.margin;
-        // Known at once, not only with the next listing.
+        // Added to the view now instead of with the next listing.
         once.view.owners[name] = lease;
     }
 
@@ -235,7 +239,7 @@
                 static_cast<std::uint64_t> (wallTimeNow().time_since_epoch().count());
 
             const auto expected = found == view.slots.end() ? 0 : found->second.version;
-            // Whatever becomes of the answer, the next listing shows who owns the slot.
+            // The outcome is ignored: the next listing shows who owns the slot.
             co_await platform.swap (slotKey (slot), expected, toText (record), 0, "slots");
             hasClaimed = true;
         }
--- a/modules/snowrudder_router/once/SlotKeeper.h
+++ b/modules/snowrudder_router/once/SlotKeeper.h
@@ -7,8 +7,8 @@
 namespace snowrudder
 {
 
-/** Keeps this router's lease and claims the slots that are its to claim. Runs on one worker for as long as the router
-    does; ends by itself once the router has handed its slots over.
+/** Renews this router's lease and claims the key slots that this router is to own. Runs on one worker; ends when the
+    router leaves and hands its slots over.
 */
 auto keepSlots (RouterState& state, Worker& worker) -> Task<void>;
 
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -14,7 +14,7 @@
 constexpr auto announceInterval = 60ms;
 constexpr auto responseTimeout = 1s;
 
-/** Comparisons that a router makes after its start, whether it knows of crashes or not. */
+/** Number of comparisons that a router makes after its start even if it has no crash evidence. */
 constexpr auto initialComparisons = 5;
 
 auto sendEvidence (RouterState& state,
@@ -90,7 +90,7 @@
     if (! received)
         return {};
 
-    // All routers are told directly by the one that saw a crash.
+    // The router that observed a crash announces it to all others directly, so that received evidence isn't forwarded.
     const auto shouldAnnounce = false;
     state.crashes.hear (received->evidence, received->node, shouldAnnounce, now);
     return encodeEvidence (state, state.crashes.table().all (mostEvidenceTold, now), now);
--- a/modules/snowrudder_router/peers/CrashExchange.h
+++ b/modules/snowrudder_router/peers/CrashExchange.h
@@ -8,19 +8,19 @@
 namespace snowrudder
 {
 
-/** Where routers tell each other of crashes. */
+/** Path at which routers exchange crash evidence. */
 inline constexpr auto crashesTarget = std::string_view ("/internal/crashes");
 
-/** Tells the other routers of crashes of replicas: what is new to all of them at once, and what is known to one router drawn at
-    random each second, as long as there is something or this router has just started. Runs for ever.
+/** Sends evidence of replica crashes to the other routers: new evidence to all of them at once, and all evidence to one
+    randomly selected router each second, as long as there is any or this router has just started. Never returns.
 
-    @param wake  notified when there is something new
+    @param changeSignal  notified when there is new evidence
 */
 auto gossipCrashes (RouterState& state, Worker& worker, std::shared_ptr<Signal> changeSignal) -> Task<void>;
 
-/** Takes in what another router knows of crashes.
+/** Merges the crash evidence of another router.
 
-    @returns what this one knows, or nothing when the message is not understood
+    @returns this router's evidence, encoded; nothing if the message is malformed
 */
 auto exchangeCrashes (RouterState& state, const std::string& message) -> std::optional<std::string>;
 
--- a/modules/snowrudder_router/peers/InternalHandler.cpp
+++ b/modules/snowrudder_router/peers/InternalHandler.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** @returns what another node is told where it asks what this one knows, or nothing. */
+/** @returns the response to a request that exchanges or reads state; nothing if the path is not one of these. */
 auto replyToNode (RouterState& state, const Exchange& exchange) -> std::optional<std::string>
 {
     if (exchange.path() == treeTarget)
@@ -24,7 +24,10 @@
     return exchange.path() == statusTarget ? std::optional (routerStatus (state)) : std::nullopt;
 }
 
-/** @returns what is wrong with a message, or nothing once it is taken. */
+/** Accepts slots or a request that another router hands over.
+
+    @returns the problem with the message, or nothing if it was accepted
+*/
 auto acceptMessage (RouterState& state, Worker& worker, const Exchange& exchange) -> std::optional<Problem>
 {
     if (state.leaving)
@@ -55,7 +58,7 @@
         co_return;
     }
 
-    // A leaving router answers these too: what it knows may be the newest.
+    // A leaving router answers these too, as its state may be the most recent.
     if (const auto reply = replyToNode (state, exchange))
     {
         co_await exchange.respond (http::status::ok, "application/x-protobuf", *reply);
--- a/modules/snowrudder_router/peers/InternalHandler.h
+++ b/modules/snowrudder_router/peers/InternalHandler.h
@@ -5,11 +5,11 @@
 namespace snowrudder
 {
 
-/** Paths below this are for routers only. */
+/** Paths with this prefix are for nodes of the fleet only. */
 inline constexpr auto internalPrefix = std::string_view ("/internal/");
 
-/** Answers what another router asks: `POST /internal/slots`, `/internal/request`, `/internal/tree`,
-    `/internal/crashes` and `/internal/status`. Strangers get 401.
+/** Handles requests from other nodes: `POST /internal/slots`, `/internal/request`, `/internal/tree`,
+    `/internal/crashes` and `/internal/status`. A request that is not signed by a node of the fleet gets 401.
 */
 auto handleInternal (RouterState& state, Worker& worker, Exchange& exchange) -> Task<void>;
 
--- a/modules/snowrudder_router/peers/PeerCalls.cpp
+++ b/modules/snowrudder_router/peers/PeerCalls.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** @returns the failure domain of a router: its own, or a peer's. */
+/** @returns the failure domain of this router or of a peer; empty if the name is unknown. */
 auto domainOf (const RouterState& state, std::string_view name) -> std::string
 {
     if (name == state.settings.node().name())
--- a/modules/snowrudder_router/peers/PeerCalls.h
+++ b/modules/snowrudder_router/peers/PeerCalls.h
@@ -10,25 +10,28 @@
 namespace snowrudder
 {
 
-/** Signs a request to a peer. Method, target, the caller's key and the body are covered. */
+/** Signs a request to a peer. The signature covers the method, the target, the caller's key and the body. */
 auto signRequest (const RouterState& state, HttpRequest& request) -> void;
 
-/** @returns the peer that signed a request, or nothing. */
+/** @returns the name of the peer that signed a request; nothing if there is no valid signature. */
 auto signingPeer (const RouterState& state, const HttpRequest& request) -> std::optional<std::string>;
 
-/** @returns the peer of a name, or nullptr. */
+/** @returns the peer with a given name, or nullptr. */
 auto findPeer (const RouterState& state, std::string_view name) -> const schema::Peer*;
 
-/** Routers to which a request may be handed over, and which are asked for it, behind the one that accepted it. */
+/** Maximum number of routers that a request may be handed over to, and that are queried for its record after the router
+    that accepted it.
+*/
 inline constexpr auto maxSuccessors = std::size_t { 8 };
 
-/** @returns peers in the order in which they inherit a request: those in other failure domains than the router that
-    accepted it first, each group by its rendezvous value for the request. All routers get the same order, and an heir
-    that leaves in its turn goes on in it, so that a router that looks for a record finds it. At most `maxSuccessors`.
+/** @returns the peers that a request may be handed over to, at most `maxSuccessors`, in order. Peers in other failure
+    domains than that of the router that accepted the request come first; each of the two groups is ordered by rendezvous
+    hashing of the request. All routers compute the same order, and a successor that leaves later uses it too, so that a
+    router that searches for a record finds it.
 */
 auto successorsOf (const RouterState& state, const RequestId& request) -> std::vector<const schema::Peer*>;
 
-/** Makes one signed call and reads its whole answer. */
+/** Makes a signed call to a peer and reads the whole response. */
 auto callPeer (const RouterState& state,
                Worker& worker,
                const std::string& endpoint,
--- a/modules/snowrudder_router/peers/TreeExchange.cpp
+++ b/modules/snowrudder_router/peers/TreeExchange.cpp
@@ -12,14 +12,14 @@
 constexpr auto compareInterval = 1s;
 constexpr auto responseTimeout = 1s;
 
-/** Puts a message's tree in force where it is newer. */
+/** Puts the tree of a message in force if it is newer. */
 auto adoptReceivedTree (RouterState& state, const schema::TreeExchange& message) -> void
 {
     if (! message.text().empty())
         adoptTree (state, message.text(), message.revision());
 }
 
-/** Compares the tree with one peer, both ways: the newer text goes to the other. */
+/** Compares revisions with one peer; whichever side has the newer tree sends its text to the other. */
 auto compareWith (RouterState& state, Worker& worker, const schema::Peer& peer) -> Task<void>
 {
     const CallTimeouts timeouts { responseTimeout, responseTimeout, responseTimeout };
--- a/modules/snowrudder_router/peers/TreeExchange.h
+++ b/modules/snowrudder_router/peers/TreeExchange.h
@@ -8,19 +8,20 @@
 namespace snowrudder
 {
 
-/** Takes what another node knows of the tree and tells what this one knows: the text only where it is newer. Revisions
-    go forward only, so that late, doubled and old messages change nothing.
+/** Merges the settings tree of another node, and replies with this router's revision, and its text if it is newer. The
+    revision never decreases, so that late, duplicate and outdated messages have no effect.
 
-    @returns nothing when the message is not understood
+    @returns the serialized reply; nothing if the message is malformed
 */
 auto exchangeTree (RouterState& state, const std::string& message) -> std::optional<std::string>;
 
-/** Compares the tree with one router drawn at random each second, for ever. A revision that a few routers hold is in
-    force everywhere within seconds though the platform's service be down, at a cost that does not grow with the fleet.
+/** Compares the settings tree with one randomly selected router each second. Never returns. A revision that a few routers
+    hold is in force everywhere within seconds even while the platform's key-value service is down, at a cost per router
+    that doesn't grow with the fleet.
 */
 auto gossipTree (RouterState& state, Worker& worker) -> Task<void>;
 
-/** @returns this router's state for the administration API, serialized. */
+/** @returns this router's status for the administration API, as a serialized `RouterStatus`. */
 auto routerStatus (const RouterState& state) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** One attempt: an answer, or why there is none. */
+/** Result of one attempt: an answer, or the reason why there is none. */
 using AttemptResult = std::variant<std::unique_ptr<PlainAnswer>, AttemptOutcome>;
 
 auto isRefusal (const ServiceView& service, unsigned status) -> bool
@@ -58,7 +58,7 @@
                                          [end = input.deadline] { return SteadyClock::now() >= end; });
 }
 
-/** @returns what became of the replica of an attempt, for the log. */
+/** @returns the state of an attempt's replica address after a failure that may be a crash, for the log. */
 auto examineReplica (RouterState& state,
                      Worker& worker,
                      const PlainCallInput& input,
@@ -86,7 +86,8 @@
     identity.accepted = SteadyClock::now();
     identity.deadline = input.deadline;
     identity.contentHash = contentHash;
-    // Apart from its count of references: a key refers to it weakly for ten minutes, and would hold its 728 bytes for as long.
+    // Allocated separately from its reference count (no make_shared): a key keeps a weak pointer to the record for ten minutes,
+    // which would otherwise keep the record's 728 bytes allocated for as long.
     return std::make_unique<RequestRecord> (std::move (identity));
 }
 
@@ -109,7 +110,7 @@
             co_return problemWhenStopped (retry.mayHaveRun);
         }
 
-        // The wait for a verdict may have outlasted the call's time.
+        // The deadline may have passed during the wait for a verdict.
         if (SteadyClock::now() >= input.deadline)
             co_return makeProblem (ErrorKind::deadlineExceeded, retry.mayHaveRun ? Ran::unknown : Ran::no,
                                    {});
--- a/modules/snowrudder_router/plain/PlainCall.h
+++ b/modules/snowrudder_router/plain/PlainCall.h
@@ -10,20 +10,22 @@
 namespace snowrudder
 {
 
-/** What a call to a plain service needs. */
+/** Input of a call to a plain service. */
 struct PlainCallInput
 {
     std::shared_ptr<const ServiceView> service;
     std::shared_ptr<const AccountView> account;
     RequestId id;
-    /** As it goes to the upstream. */
+    /** The request as it is sent to the upstream. */
     HttpRequest request;
     bool repeatable = false;
     TimePoint deadline {};
     RequestFingerprint fingerprint;
 };
 
-/** An upstream's answer, its header and the first part of its body read. Holds its place in the replica's count. */
+/** An upstream's answer, of which the header and the first part of the body have been read. Counts as a request in
+    flight at the replica until it is destroyed.
+*/
 class PlainAnswer
 {
 public:
@@ -43,7 +45,7 @@
 
     /** The part of the body read so far. */
     std::string body;
-    /** What the answer says of its replica. */
+    /** Health of the replica as shown by this attempt; reported when the answer is destroyed. */
     AttemptHealth health = AttemptHealth::good;
 
 private:
@@ -52,16 +54,16 @@
     std::unique_ptr<UpstreamCall> call;
 };
 
-/** @returns the record of a call that is kept for its key.
+/** @returns a new record that keeps a call's answer.
 
-    @param contentHash  of method, path and body
+    @param contentHash  hash of method, path and body
 */
 auto makeCallRecord (const PlainCallInput& input, std::uint64_t contentHash)
     -> std::shared_ptr<RequestRecord>;
 
 using PlainResult = std::variant<std::unique_ptr<PlainAnswer>, Problem>;
 
-/** Calls a plain service: chooses a replica, and another one after a failure where the call allows it. */
+/** Calls a plain service: chooses a replica, and retries on another one after a failure if the call may be retried. */
 auto callPlainService (RouterState& state, Worker& worker, const PlainCallInput& input) -> Task<PlainResult>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/plain/PlainHandler.cpp
+++ b/modules/snowrudder_router/plain/PlainHandler.cpp
@@ -14,18 +14,18 @@
 constexpr auto servicesPrefix = std::string_view ("/services/");
 constexpr auto maxKeptAnswerBytes = std::size_t { 4 * 1024 * 1024 };
 
-/** What a call turned out to ask for. */
+/** A valid call to a plain service, with its idempotency key. */
 struct ResolvedCall
 {
     PlainCallInput input;
     std::string key;
 };
 
-/** Where `/services/NAME/PATH` points. */
+/** The two parts of the target `/services/NAME/PATH`. */
 struct ServiceTarget
 {
     std::string_view service;
-    /** With its leading '/', its query included. */
+    /** Path and query, with the leading '/'. */
     std::string_view upstreamTarget;
 };
 
@@ -41,7 +41,9 @@
     return { target.substr (0, end), upstreamTarget };
 }
 
-/** The upstream gets what the caller sent, less what is between caller and router. */
+/** @returns the caller's request as it is sent to the upstream: without hop-by-hop headers, `Authorization` and the
+    `Snowrudder-` headers, and with `X-Request-Id`.
+*/
 auto upstreamRequest (const HttpRequest& from, std::string_view target, const std::string& id) -> HttpRequest
 {
     HttpRequest request (from.method(), toBeast (target), 11);
@@ -102,7 +104,7 @@
     return resolved;
 }
 
-/** Counts a call in progress. */
+/** Counts a call as in progress, and records its duration at the end. */
 class CallInProgress
 {
 public:
@@ -142,14 +144,14 @@
                                worker.loop.get_executor());
 }
 
-/** Notes a call that a replica answered with success and whole, as far as its answer was read here. */
+/** Records that a request succeeded at a replica, if its answer was successful and has been read completely. */
 auto recordSuccess (RouterState& state, const PlainCallInput& input, const UpstreamCall& call) -> void
 {
     if (call.hasSucceeded())
         state.crashes.table().noteSuccess (input.fingerprint, SteadyClock::now());
 }
 
-/** Keeps a small answer, so that its caller can ask for it by the request's identifier. */
+/** Keeps a small answer, so that its caller can fetch it by the request identifier. */
 auto keepSmallAnswer (RouterState& state, const PlainCallInput& input, PlainAnswer& answer) -> void
 {
     constexpr auto maxSmallAnswerBytes = std::size_t { 16 * 1024 };
@@ -194,7 +196,7 @@
     recordSuccess (state, input, answer.upstream());
 }
 
-/** Makes a keyed call's answer apart from the caller's connection and keeps it for the key. */
+/** Makes a call with an idempotency key, independently of the caller's connection, and keeps its answer in the record. */
 auto runKeyed (RouterState& state,
                Worker& worker,
                PlainCallInput input,
@@ -235,7 +237,9 @@
     state.requests.noteEnded (record, SteadyClock::now());
 }
 
-/** Tells a repeated key's request from another. */
+/** @returns a hash of method, target and body. It distinguishes a repeated request from a different one with the same
+    idempotency key.
+*/
 auto contentHashOf (const HttpRequest& received) -> std::uint64_t
 {
     const auto method = hashBytes (toView (received.method_string()));
@@ -243,7 +247,9 @@
     return hashBytes (received.body(), target);
 }
 
-/** A keyed call that may repeat: this router gives the first answer again, another may make the call again. */
+/** Handles a call with an idempotency key that may be repeated: this router returns the answer of the first call again;
+    another router may make the call again.
+*/
 auto relayKeyed (RouterState& state,
                  Worker& worker,
                  Exchange& exchange,
@@ -273,7 +279,7 @@
     co_await relayRecord (state, exchange, record, 0);
 }
 
-/** A keyed call that may run once: the key's owner makes it. */
+/** Handles a call with an idempotency key that may run at most once: the router that owns the key makes it. */
 auto relayOnce (RouterState& state,
                 Worker& worker,
                 Exchange& exchange,
@@ -309,7 +315,8 @@
 
     auto& resolved = std::get<ResolvedCall> (resolution);
 
-    // A keyed call may have run before under its key: what its key says of that comes first.
+    // A call with a key may have run before. The state of its key takes precedence, so that the crash verdict is only checked
+    // here for calls without one.
     const auto refusal = resolved.key.empty()
                              ? checkCrashVerdict (state, resolved.input.fingerprint, toString (scope.id))
                              : std::nullopt;
@@ -320,7 +327,7 @@
         co_return;
     }
 
-    // The router that sent it on has counted it already.
+    // A forwarded request was already counted for the client account by the router that forwarded it.
     const auto isForwarded = signingPeer (state, exchange.request()).has_value();
     std::optional<Problem> admissionProblem;
     auto admitted =
--- a/modules/snowrudder_router/plain/PlainHandler.h
+++ b/modules/snowrudder_router/plain/PlainHandler.h
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-/** Answers `/services/{service}/{path}`, any method. */
+/** Handles `/services/{service}/{path}`, any method. */
 auto handlePlain (RouterState& state, Worker& worker, Exchange& exchange, CallerScope scope) -> Task<void>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/resume/ResumeHandler.cpp
+++ b/modules/snowrudder_router/resume/ResumeHandler.cpp
@@ -24,9 +24,9 @@
                                                                                : std::nullopt;
 }
 
-/** Asks a router for the request's record, and passes its answer on.
+/** Forwards the request to a peer and relays its answer.
 
-    @returns false when it can't be reached or does not know the request, and nothing was answered
+    @returns false if the peer can't be reached or has no record of the request; nothing has been sent to the caller then
 */
 auto relayFromPeer (RouterState& state, Worker& worker, Exchange& exchange, const schema::Peer& peer)
     -> Task<bool>
@@ -49,7 +49,7 @@
     co_return true;
 }
 
-/** Asks the router that accepted the request, then those that would have inherited it. */
+/** Queries the router that accepted the request, then its successors. */
 auto relayFromPeers (RouterState& state, Worker& worker, Exchange& exchange, const RequestId& id)
     -> Task<bool>
 {
@@ -91,7 +91,7 @@
         co_return;
     }
 
-    // A question goes one step only: what a router asks is not passed on.
+    // A request that was forwarded by a router is not forwarded again.
     const auto id = parseRequestId (idText);
     const auto isFromPeer = signingPeer (state, exchange.request()).has_value();
 
--- a/modules/snowrudder_router/resume/ResumeHandler.h
+++ b/modules/snowrudder_router/resume/ResumeHandler.h
@@ -5,9 +5,9 @@
 namespace snowrudder
 {
 
-/** Answers `GET /v1/requests/{id}`: from the record here, or through the router that has it.
+/** Handles `GET /v1/requests/{id}`: answers from a local record, or relays the answer of the router that holds it.
 
-    @param idText  the identifier as the path gives it
+    @param idText  the request identifier from the path
 */
 auto handleResume (RouterState& state,
                    Worker& worker,
--- a/modules/snowrudder_router/state/OnceState.h
+++ b/modules/snowrudder_router/state/OnceState.h
@@ -9,7 +9,9 @@
 namespace snowrudder
 {
 
-/** A slot's table that a leaving router handed over, until the platform's record names this router as its owner. */
+/** The keys of a slot that a leaving router handed over, held until the platform's record names this router as the slot's
+    owner.
+*/
 struct HandedSlotTable
 {
     std::uint64_t epoch = 0;
@@ -17,7 +19,7 @@
     std::vector<KeyEntry> entries;
 };
 
-/** All that a router knows of keyed calls. One mutex guards it; nothing else is locked while it is held. */
+/** A router's state of calls with idempotency keys. Guarded by one mutex; no other lock is taken while it is held. */
 struct OnceState
 {
     explicit OnceState (const SlotTimes& slotTimes) : times (slotTimes), table (slotTimes) {}
@@ -25,9 +27,9 @@
     const SlotTimes times;
     std::mutex mutex;
     KeyTable table;
-    /** As last read from the platform. */
+    /** Owners and slots as last read from the platform. */
     SlotView view;
-    /** This router's lease, and until when it may act on it by its own clock. */
+    /** This router's lease (0 for none), and the time by its own clock until which it may rely on it. */
     std::uint64_t lease = 0;
     std::optional<TimePoint> leaseEnd;
     std::map<std::uint32_t, HandedSlotTable> handedSlotTables;
--- a/modules/snowrudder_router/state/RouterMetrics.h
+++ b/modules/snowrudder_router/state/RouterMetrics.h
@@ -7,12 +7,12 @@
 namespace snowrudder
 {
 
-/** The router's figures that are counted on the way of every request, looked up once. */
+/** Metrics that are updated for every request. They are looked up by name once, at construction. */
 struct RouterMetrics
 {
     explicit RouterMetrics (Metrics& metrics);
 
-    /** Counts an answer to a caller. */
+    /** Counts an error response to a caller by its kind. */
     auto countError (ErrorKind kind) -> void { errors[static_cast<std::size_t> (kind)]->add(); }
 
     Counter& requests;
--- a/modules/snowrudder_router/state/RouterState.h
+++ b/modules/snowrudder_router/state/RouterState.h
@@ -21,8 +21,9 @@
 namespace snowrudder
 {
 
-/** What all workers of a router share. Each table guards itself; the lock order is in docs/ARCHITECTURE.md: a thread
-    holds at most one table's lock, and below RequestTable's only a RequestRecord's.
+/** State that all workers of a router share. Each table has its own lock. The lock order is described in
+    docs/ARCHITECTURE.md: a thread holds at most one table's lock, and while it holds that of RequestTable it may lock
+    only a RequestRecord.
 */
 struct RouterState
 {
@@ -37,16 +38,17 @@
     {
     }
 
-    /** @returns the tree in force here. */
+    /** @returns the settings tree in force on this router. */
     [[nodiscard]] auto fleet() const -> std::shared_ptr<const FleetView>
     {
         const std::lock_guard lock (fleetMutex);
         return fleetView;
     }
 
-    /** Puts a newer tree in force. An older one changes nothing.
+    /** Puts a settings tree in force if its revision is newer.
 
-        @param text  the tree as it is stored, to be given to other nodes
+        @param text  the tree as stored, to be sent to other nodes
+        @returns     whether it was newer
     */
     auto setFleet (std::shared_ptr<const FleetView> view, std::string text) -> bool
     {
@@ -60,7 +62,7 @@
         return true;
     }
 
-    /** The tree in force with its text. */
+    /** Revision and text of the settings tree in force. */
     struct CurrentTree
     {
         std::uint64_t revision = 0;
@@ -73,20 +75,20 @@
         return { fleetView->revision(), fleetText };
     }
 
-    /** @returns how long this router's own VM has left, once it has a reclaim notice. */
+    /** @returns the time from the reclaim notice of this router's VM until it is reclaimed; nothing without a notice. */
     [[nodiscard]] auto reclaimNotice() const -> std::optional<std::chrono::milliseconds>
     {
         const auto milliseconds = noticeMilliseconds.load();
         return milliseconds < 0 ? std::nullopt : std::optional (std::chrono::milliseconds (milliseconds));
     }
 
-    /** @returns how many routers share the upstreams, this one included. */
+    /** @returns the number of routers that share the upstreams, including this one. */
     [[nodiscard]] auto routerCount() const -> std::size_t
     {
         return static_cast<std::size_t> (settings.peers_size()) + 1;
     }
 
-    /** @returns whether the balancer may send callers here. */
+    /** @returns whether the load balancer may send requests to this router. */
     [[nodiscard]] auto isReady() const -> bool
     {
         return hasTree && hasReplicas && hasSlotOwners && ! leaving;
@@ -109,14 +111,14 @@
 
     std::atomic<bool> hasTree { false };
     std::atomic<bool> hasReplicas { false };
-    /** Set once every key slot was seen with a living owner: until then keyed calls would wait. It stays set, for an
-        outage of the platform must not make all routers unready at once.
+    /** Set once every key slot has had an owner with a valid lease; before that, calls with idempotency keys would wait. It
+        stays set, because an outage of the platform must not make all routers unready at once.
     */
     std::atomic<bool> hasSlotOwners { false };
     std::atomic<bool> leaving { false };
-    /** Below 0 while there is no notice. */
+    /** Time left at the reclaim notice; negative without a notice. */
     std::atomic<std::int64_t> noticeMilliseconds { -1 };
-    /** Calls to plain services in progress. */
+    /** Number of calls to plain services in progress. */
     std::atomic<std::size_t> plainCalls { 0 };
 
 private:
@@ -125,7 +127,7 @@
     std::shared_ptr<const std::string> fleetText = std::make_shared<const std::string>();
 };
 
-/** What belongs to one worker's thread. */
+/** State that belongs to one worker's thread. */
 struct Worker
 {
     explicit Worker (asio::io_context& eventLoop)
--- a/modules/snowrudder_router/state/RouterTimeouts.h
+++ b/modules/snowrudder_router/state/RouterTimeouts.h
@@ -9,7 +9,7 @@
 namespace snowrudder
 {
 
-/** The router's waits, with what holds where the settings say nothing. */
+/** The router's timeouts, with their defaults. */
 struct RouterTimeouts
 {
     CallTimeouts call { 1s, 60s, 20s };
@@ -18,13 +18,13 @@
     Duration drain = 120s;
 };
 
-/** @returns the waits from the settings. */
+/** @returns the timeouts from the settings; defaults for those that are not set. */
 auto routerTimeouts (const schema::RouterSettings& settings) -> RouterTimeouts;
 
-/** @returns the times of owning key slots from the settings. */
+/** @returns the lease and the safety margin of key slots from the settings; defaults for those that are not set. */
 auto slotTimes (const schema::RouterSettings& settings) -> SlotTimes;
 
-/** @returns the bounds on callers' connections from the settings. */
+/** @returns the size limits and timeouts of callers' connections from the settings; defaults for those not set. */
 auto serverLimits (const schema::RouterSettings& settings) -> ServerLimits;
 
 } // namespace snowrudder
