--- a/modules/snowrudder_admin/spread/TreeSpread.cpp
+++ b/modules/snowrudder_admin/spread/TreeSpread.cpp
@@ -10,7 +10,7 @@
 constexpr auto pauseBetween = 300ms;
 
 auto callRouter (AdminState& state, const schema::Peer& router, std::string_view target, std::string body)
-    -> Task<SimpleAnswer>
+    -> Task<SimpleResponse>
 {
     const CallTimeouts timeouts { answerTime, answerTime, answerTime };
     auto request = makeRequest (http::verb::post, target, std::move (body));
@@ -24,14 +24,14 @@
     const auto answer = co_await callRouter (state, router, treeTarget, message);
     schema::TreeExchange theirs;
 
-    if (answer.isGood() && theirs.ParseFromString (answer.body))
+    if (answer.hasSucceeded() && theirs.ParseFromString (answer.body))
         held.revision = theirs.revision();
 }
 
 auto askRouter (AdminState& state, const schema::Peer& router, RouterAnswer& answered) -> Task<void>
 {
     const auto answer = co_await callRouter (state, router, statusTarget, "?");
-    answered.reached = answer.isGood() && answered.status.ParseFromString (answer.body);
+    answered.reached = answer.hasSucceeded() && answered.status.ParseFromString (answer.body);
 }
 
 } // namespace
--- a/modules/snowrudder_ctl/command/AdminClient.cpp
+++ b/modules/snowrudder_ctl/command/AdminClient.cpp
@@ -34,7 +34,7 @@
 
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
-    SimpleAnswer got;
+    SimpleResponse got;
 
     asio::co_spawn (
         loop,
--- a/modules/snowrudder_fakes/engine/FakeEngine.cpp
+++ b/modules/snowrudder_fakes/engine/FakeEngine.cpp
@@ -308,7 +308,7 @@
         if (stream->steps.empty())
             co_await stream->signal->wait (SteadyClock::now() + 1h);
 
-        if (exchange.callerGone() || faults.cut || ! streams.contains (id))
+        if (exchange.hasCallerDisconnected() || faults.cut || ! streams.contains (id))
             co_return;
 
         std::string text;
@@ -325,7 +325,7 @@
         if (isFinished)
             text += "data: [DONE]\n\n";
 
-        if (co_await exchange.writePiece (text))
+        if (co_await exchange.writeBodyPart (text))
             co_return;
     }
 
@@ -343,7 +343,7 @@
         if (stream->steps.empty())
             co_await stream->signal->wait (SteadyClock::now() + 1h);
 
-        if (exchange.callerGone() || faults.cut)
+        if (exchange.hasCallerDisconnected() || faults.cut)
             co_return;
 
         while (! stream->steps.empty())
--- a/modules/snowrudder_load/client/LoadRun.cpp
+++ b/modules/snowrudder_load/client/LoadRun.cpp
@@ -51,11 +51,11 @@
 }
 
 /** Makes one call on a loop of its own and waits for it. */
-auto askNow (const tcp::endpoint& endpoint, std::string_view target) -> SimpleAnswer
+auto askNow (const tcp::endpoint& endpoint, std::string_view target) -> SimpleResponse
 {
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
-    SimpleAnswer answer;
+    SimpleResponse answer;
     CallTimeouts timeouts { 1s, 5s, 5s };
     constexpr auto largestStats = std::size_t { 256 * 1024 * 1024 };
 
@@ -75,8 +75,8 @@
 {
     const auto answer = askNow (plan.platform, "/vms");
     auto skipped = std::size_t { 0 };
-    return answer.isGood() ? parseVmList (answer.body, skipped).value_or (std::vector<Vm> {})
-                           : std::vector<Vm> {};
+    return answer.hasSucceeded() ? parseVmList (answer.body, skipped).value_or (std::vector<Vm> {})
+                                 : std::vector<Vm> {};
 }
 
 auto addStats (const std::string& text, UpstreamCounts& counts) -> void
@@ -134,7 +134,7 @@
 
     // Requests that are not waited for any longer refer to what their callers are destroyed with.
     for (auto& caller : callers)
-        caller.loop.endWaiting();
+        caller.loop.destroyWaitingCoroutines();
 
     for (const auto& caller : callers)
         if (caller.open > 0)
@@ -156,7 +156,7 @@
     }
 
     for (const auto& endpoint : into.endpoints)
-        if (const auto answer = askNow (parseEndpoint (endpoint), "/stats"); answer.isGood())
+        if (const auto answer = askNow (parseEndpoint (endpoint), "/stats"); answer.hasSucceeded())
             addStats (answer.body, into);
 
     return ! vms.empty();
--- a/modules/snowrudder_net/client/CallStage.h
+++ b/modules/snowrudder_net/client/CallStage.h
@@ -7,13 +7,13 @@
 enum class CallStage
 {
     /** Not a byte has left. */
-    planned,
+    notSent,
     /** Some bytes may have left: the upstream may run the request. */
     sending,
     /** All bytes have left. */
     sent,
     /** The answer's header is here. */
-    answering,
+    receiving,
     /** The whole answer is here. */
     finished
 };
--- a/modules/snowrudder_net/client/ConnectionPool.cpp
+++ b/modules/snowrudder_net/client/ConnectionPool.cpp
@@ -11,7 +11,7 @@
 {
 
 /** An idle connection must be silent: a closed one reads as ended, a confused peer has sent bytes. */
-auto isSilent (tcp::socket& stream) -> bool
+auto isReusable (tcp::socket& stream) -> bool
 {
     char byte = 0;
     const auto count = ::recv (stream.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -20,7 +20,7 @@
 
 } // namespace
 
-auto ConnectionPool::takeIdle (const tcp::endpoint& endpoint, TimePoint now)
+auto ConnectionPool::acquireIdle (const tcp::endpoint& endpoint, TimePoint now)
     -> std::unique_ptr<UpstreamConnection>
 {
     const auto found = idle.find (endpoint);
@@ -35,29 +35,29 @@
         auto connection = std::move (connections.back());
         connections.pop_back();
 
-        if (now - connection->idleSince < connection->longestIdle && isSilent (connection->stream))
+        if (now - connection->idleSince < connection->maxIdleTime && isReusable (connection->stream))
             return connection;
     }
 
     return nullptr;
 }
 
-auto ConnectionPool::closeOld (TimePoint now) -> void
+auto ConnectionPool::closeExpired (TimePoint now) -> void
 {
     for (auto& [endpoint, connections] : idle)
         std::erase_if (connections, [now] (const auto& connection)
-                       { return now - connection->idleSince >= connection->longestIdle; });
+                       { return now - connection->idleSince >= connection->maxIdleTime; });
 
     std::erase_if (idle, [] (const auto& entry) { return entry.second.empty(); });
 }
 
-auto ConnectionPool::giveBack (const tcp::endpoint& endpoint,
-                               std::unique_ptr<UpstreamConnection> connection,
-                               TimePoint now) -> void
+auto ConnectionPool::returnToPool (const tcp::endpoint& endpoint,
+                                   std::unique_ptr<UpstreamConnection> connection,
+                                   TimePoint now) -> void
 {
     auto& connections = idle[endpoint];
 
-    if (connections.size() >= mostIdle)
+    if (connections.size() >= maxIdle)
         return;
 
     connection->idleSince = now;
--- a/modules/snowrudder_net/client/ConnectionPool.h
+++ b/modules/snowrudder_net/client/ConnectionPool.h
@@ -30,7 +30,7 @@
     beast::flat_buffer buffer;
     TimePoint idleSince {};
     /** How long it may rest before it is used again. */
-    Duration longestIdle {};
+    Duration maxIdleTime {};
 };
 
 /** Idle connections of one event loop, by address. Belongs to its loop's thread; needs no lock. */
@@ -43,34 +43,31 @@
     }
 
     /** @returns an idle connection that the peer has not closed, or nullptr. */
-    auto takeIdle (const tcp::endpoint& endpoint, TimePoint now) -> std::unique_ptr<UpstreamConnection>;
+    auto acquireIdle (const tcp::endpoint& endpoint, TimePoint now) -> std::unique_ptr<UpstreamConnection>;
 
     /** @returns a connection that is not yet connected. */
-    [[nodiscard]] auto makeNew() -> std::unique_ptr<UpstreamConnection>
+    [[nodiscard]] auto createConnection() -> std::unique_ptr<UpstreamConnection>
     {
         return std::make_unique<UpstreamConnection> (executor, watchdog);
     }
 
     /** Keeps a connection for reuse. */
-    auto giveBack (const tcp::endpoint& endpoint,
-                   std::unique_ptr<UpstreamConnection> connection,
-                   TimePoint now) -> void;
+    auto returnToPool (const tcp::endpoint& endpoint,
+                       std::unique_ptr<UpstreamConnection> connection,
+                       TimePoint now) -> void;
 
     /** Sets how many idle connections to one address are kept; what is over is closed as it comes back. */
-    auto setMostIdle (std::size_t connections) -> void
-    {
-        mostIdle = std::min (connections, mostIdleAnAddress);
-    }
+    auto setMaxIdle (std::size_t connections) -> void { maxIdle = std::min (connections, maxIdlePerAddress); }
 
     /** Closes idle connections that have rested too long. */
-    auto closeOld (TimePoint now) -> void;
+    auto closeExpired (TimePoint now) -> void;
 
 private:
-    static constexpr auto mostIdleAnAddress = std::size_t { 64 };
+    static constexpr auto maxIdlePerAddress = std::size_t { 64 };
 
     asio::any_io_executor executor;
     Watchdog watchdog;
-    std::size_t mostIdle = mostIdleAnAddress;
+    std::size_t maxIdle = maxIdlePerAddress;
     std::map<tcp::endpoint, std::vector<std::unique_ptr<UpstreamConnection>>> idle;
 };
 
--- a/modules/snowrudder_net/client/ProbeEndpoint.h
+++ b/modules/snowrudder_net/client/ProbeEndpoint.h
@@ -27,7 +27,9 @@
     @param wait  for the connection
     @param look  how long the connection is watched: whether the other side closes it
 */
-auto probeEndpoint (ConnectionPool& pool, tcp::endpoint endpoint, Duration wait, Duration look = {})
-    -> Task<EndpointState>;
+auto probeEndpoint (ConnectionPool& pool,
+                    tcp::endpoint endpoint,
+                    Duration connectTimeout,
+                    Duration closeTimeout = {}) -> Task<EndpointState>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/client/SignedRequest.cpp
+++ b/modules/snowrudder_net/client/SignedRequest.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr auto longestSignatureAge = std::chrono::milliseconds (30'000);
+constexpr auto maxSignatureAge = std::chrono::milliseconds (30'000);
 
-auto coveredText (const HttpRequest& request) -> std::string
+auto signedContent (const HttpRequest& request) -> std::string
 {
     std::string text (toView (request.method_string()));
     text += ' ';
@@ -28,18 +28,18 @@
 
 auto signRequest (std::string_view secret, std::string_view name, HttpRequest& request) -> void
 {
-    const auto signature = signMessage (secret, name, wallTimeNow(), coveredText (request));
+    const auto signature = signMessage (secret, name, wallTimeNow(), signedContent (request));
     request.set (toBeast (nodeHeader), signature);
 }
 
-auto signerOf (std::string_view secret, const HttpRequest& request) -> std::optional<std::string>
+auto verifiedSigner (std::string_view secret, const HttpRequest& request) -> std::optional<std::string>
 {
     const auto signature = toView (request[toBeast (nodeHeader)]);
 
     if (signature.empty())
         return {};
 
-    return checkSignature (secret, signature, coveredText (request), wallTimeNow(), longestSignatureAge);
+    return checkSignature (secret, signature, signedContent (request), wallTimeNow(), maxSignatureAge);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/client/SignedRequest.h
+++ b/modules/snowrudder_net/client/SignedRequest.h
@@ -24,6 +24,6 @@
 auto signRequest (std::string_view secret, std::string_view name, HttpRequest& request) -> void;
 
 /** @returns the node that signed a request not long ago, or nothing. */
-auto signerOf (std::string_view secret, const HttpRequest& request) -> std::optional<std::string>;
+auto verifiedSigner (std::string_view secret, const HttpRequest& request) -> std::optional<std::string>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/client/SimpleCall.cpp
+++ b/modules/snowrudder_net/client/SimpleCall.cpp
@@ -7,25 +7,25 @@
                tcp::endpoint endpoint,
                HttpRequest request,
                CallTimeouts timeouts,
-               std::size_t limit) -> Task<SimpleAnswer>
+               std::size_t limit) -> Task<SimpleResponse>
 {
-    SimpleAnswer answer;
+    SimpleResponse response;
     UpstreamCall call (pool, endpoint, timeouts);
     const auto mayReuse = true;
 
-    answer.error = co_await call.connect (mayReuse);
+    response.error = co_await call.connect (mayReuse);
 
-    if (! answer.error)
-        answer.error = co_await call.sendAndReadHeader (request);
+    if (! response.error)
+        response.error = co_await call.sendAndReadHeader (request);
 
-    if (! answer.error)
+    if (! response.error)
     {
-        answer.status = call.status();
-        answer.error = co_await call.readRest (answer.body, limit);
+        response.status = call.status();
+        response.error = co_await call.readRest (response.body, limit);
     }
 
-    answer.stage = call.stage();
-    co_return answer;
+    response.stage = call.stage();
+    co_return response;
 }
 
 auto makeRequest (http::verb method, std::string_view target, std::string body) -> HttpRequest
--- a/modules/snowrudder_net/client/SimpleCall.h
+++ b/modules/snowrudder_net/client/SimpleCall.h
@@ -8,15 +8,15 @@
 {
 
 /** A whole answer, or why there is none. */
-struct SimpleAnswer
+struct SimpleResponse
 {
     std::error_code error;
     /** How far the call came; tells whether it may have taken effect. */
-    CallStage stage = CallStage::planned;
+    CallStage stage = CallStage::notSent;
     unsigned status = 0;
     std::string body;
 
-    [[nodiscard]] auto isGood() const -> bool { return ! error && status >= 200 && status < 300; }
+    [[nodiscard]] auto hasSucceeded() const -> bool { return ! error && status >= 200 && status < 300; }
 };
 
 /** Makes one call and reads its whole answer.
@@ -27,7 +27,7 @@
                tcp::endpoint endpoint,
                HttpRequest request,
                CallTimeouts timeouts,
-               std::size_t limit = 8 * 1024 * 1024) -> Task<SimpleAnswer>;
+               std::size_t limit = 8 * 1024 * 1024) -> Task<SimpleResponse>;
 
 /** @returns a request with a body, ready to send. */
 auto makeRequest (http::verb method, std::string_view target, std::string body = {}) -> HttpRequest;
--- a/modules/snowrudder_net/client/UpstreamCall.cpp
+++ b/modules/snowrudder_net/client/UpstreamCall.cpp
@@ -11,30 +11,30 @@
 namespace
 {
 
-constexpr auto largestHeader = std::uint32_t { 64 * 1024 };
+constexpr auto maxHeaderBytes = std::uint32_t { 64 * 1024 };
 
 /** Where an upstream says nothing of its keep-alive time, idle connections are closed early. */
-constexpr auto usualLongestIdle = Duration (10s);
+constexpr auto defaultMaxIdleTime = Duration (10s);
 
 /** @returns how long a connection may rest: four fifths of the upstream's `Keep-Alive: timeout=N` (RFC 2068, 19.7.1),
     so that it is not closed while a request is on its way.
 */
-auto keepAliveTime (std::string_view header) -> Duration
+auto maxIdleTimeFrom (std::string_view header) -> Duration
 {
     constexpr auto parameter = std::string_view ("timeout=");
-    const auto place = header.find (parameter);
+    const auto position = header.find (parameter);
 
-    if (place == std::string_view::npos)
-        return usualLongestIdle;
+    if (position == std::string_view::npos)
+        return defaultMaxIdleTime;
 
     auto whole = std::uint32_t { 0 };
-    const auto text = header.substr (place + parameter.size());
+    const auto text = header.substr (position + parameter.size());
     const auto [end, error] = std::from_chars (text.data(), text.data() + text.size(), whole);
 
     if (error != std::errc())
-        return usualLongestIdle;
+        return defaultMaxIdleTime;
 
-    return std::min<Duration> (std::chrono::milliseconds (whole * std::int64_t { 800 }), usualLongestIdle);
+    return std::min<Duration> (std::chrono::milliseconds (whole * std::int64_t { 800 }), defaultMaxIdleTime);
 }
 
 } // namespace
@@ -44,8 +44,8 @@
     if (! reusable || connection->buffer.size() > 0)
         return;
 
-    connection->longestIdle = keepAliveTime (toView (parser->get()["Keep-Alive"]));
-    pool.giveBack (endpoint, std::move (connection), SteadyClock::now());
+    connection->maxIdleTime = maxIdleTimeFrom (toView (parser->get()["Keep-Alive"]));
+    pool.returnToPool (endpoint, std::move (connection), SteadyClock::now());
 }
 
 auto UpstreamCall::connect (bool mayReuse) -> Task<std::error_code>
@@ -54,12 +54,12 @@
         co_return make_error_code (std::errc::operation_canceled);
 
     if (mayReuse)
-        connection = pool.takeIdle (endpoint, SteadyClock::now());
+        connection = pool.acquireIdle (endpoint, SteadyClock::now());
 
     if (connection)
         co_return std::error_code();
 
-    connection = pool.makeNew();
+    connection = pool.createConnection();
     startDeadline (timeouts.connect);
     const auto [error] = co_await connection->stream.async_connect (endpoint, asTuple);
 
@@ -69,7 +69,7 @@
         connection->stream.set_option (tcp::no_delay (true), ignored);
     }
 
-    co_return told (error);
+    co_return callerError (error);
 }
 
 auto UpstreamCall::send (const HttpRequest& request) -> Task<std::error_code>
@@ -78,15 +78,15 @@
         co_return make_error_code (std::errc::operation_canceled);
 
     startDeadline (timeouts.firstByte);
-    reached = CallStage::sending;
+    currentStage = CallStage::sending;
     const auto [error, bytes] = co_await http::async_write (connection->stream, request, asTuple);
 
     if (! error)
-        reached = CallStage::sent;
+        currentStage = CallStage::sent;
     else if (bytes == 0)
-        reached = CallStage::planned;
+        currentStage = CallStage::notSent;
 
-    co_return told (error);
+    co_return callerError (error);
 }
 
 auto UpstreamCall::readHeader() -> Task<std::error_code>
@@ -96,20 +96,20 @@
     for (auto isInterim = true; isInterim;)
     {
         parser.emplace();
-        parser->header_limit (largestHeader);
+        parser->header_limit (maxHeaderBytes);
         parser->body_limit (std::numeric_limits<std::uint64_t>::max());
-        parser->skip (headOnly);
+        parser->skip (isHeadRequest);
 
         const auto [error, bytes] =
             co_await http::async_read_header (connection->stream, connection->buffer, *parser, asTuple);
 
         if (error)
-            co_return told (error);
+            co_return callerError (error);
 
         isInterim = parser->get().result_int() < 200;
     }
 
-    reached = CallStage::answering;
+    currentStage = CallStage::receiving;
 
     if (parser->is_done())
         finish();
@@ -132,18 +132,18 @@
     while (bytes.empty() && ! isDone())
     {
         auto& body = parser->get().body();
-        body.data = piece.data();
-        body.size = piece.size();
+        body.data = bodyBuffer.data();
+        body.size = bodyBuffer.size();
         body.more = true;
 
         startDeadline (timeouts.idle);
         const auto [readError, count] =
             co_await http::async_read_some (connection->stream, connection->buffer, *parser, asTuple);
-        const auto error = takeBuffered (readError);
-        bytes.assign (piece.data(), piece.size() - body.size);
+        const auto error = parseBuffered (readError);
+        bytes.assign (bodyBuffer.data(), bodyBuffer.size() - body.size);
 
         if (error)
-            co_return told (error);
+            co_return callerError (error);
 
         if (parser->is_done())
             finish();
@@ -152,7 +152,7 @@
     co_return std::error_code();
 }
 
-auto UpstreamCall::takeBuffered (boost::system::error_code error) -> boost::system::error_code
+auto UpstreamCall::parseBuffered (boost::system::error_code error) -> boost::system::error_code
 {
     auto& buffer = connection->buffer;
 
@@ -194,7 +194,7 @@
     connection->deadline.start (std::clamp<Duration> (left, 0ms, wait));
 }
 
-auto UpstreamCall::told (boost::system::error_code error) const -> std::error_code
+auto UpstreamCall::callerError (boost::system::error_code error) const -> std::error_code
 {
     if (error && connection->deadline.hasExpired())
         return std::make_error_code (std::errc::timed_out);
@@ -220,7 +220,7 @@
 
 auto UpstreamCall::finish() -> void
 {
-    reached = CallStage::finished;
+    currentStage = CallStage::finished;
 
     reusable = parser->get().keep_alive() && ! parser->need_eof();
 }
--- a/modules/snowrudder_net/client/UpstreamCall.h
+++ b/modules/snowrudder_net/client/UpstreamCall.h
@@ -67,10 +67,10 @@
     /** Ends the call from outside: the step in progress fails. Call on the call's event loop. */
     auto cancel() -> void;
 
-    [[nodiscard]] auto stage() const -> CallStage { return reached; }
+    [[nodiscard]] auto stage() const -> CallStage { return currentStage; }
     [[nodiscard]] auto header() const -> const http::response_header<>& { return parser->get().base(); }
     [[nodiscard]] auto status() const -> unsigned { return parser->get().result_int(); }
-    [[nodiscard]] auto isDone() const -> bool { return reached == CallStage::finished; }
+    [[nodiscard]] auto isDone() const -> bool { return currentStage == CallStage::finished; }
 
     /** @returns whether the whole answer is here and is a success. */
     [[nodiscard]] auto hasSucceeded() const -> bool
@@ -82,14 +82,14 @@
     [[nodiscard]] auto contentLength() const -> std::optional<std::uint64_t>;
 
     /** Closes the connection at the call's end: what came on it can't be trusted. */
-    auto distrust() -> void { reusable = false; }
+    auto preventReuse() -> void { reusable = false; }
 
     /** Tells the parser that the request was HEAD, whose answer has no body. */
-    auto expectNoBody() -> void { headOnly = true; }
+    auto expectNoBody() -> void { isHeadRequest = true; }
 
 private:
     /** Bytes of body taken at a time: a compromise between large bodies and thousands of open streams. */
-    static constexpr auto pieceBytes = std::size_t { 4096 };
+    static constexpr auto bodyBufferBytes = std::size_t { 4096 };
 
     using Parser = http::response_parser<http::buffer_body>;
 
@@ -99,22 +99,22 @@
 
         @param error  of the read before
     */
-    auto takeBuffered (boost::system::error_code error) -> boost::system::error_code;
+    auto parseBuffered (boost::system::error_code error) -> boost::system::error_code;
 
     /** Bounds the step that begins now: its own wait, or what is left of the whole call. */
     auto startDeadline (Duration wait) -> void;
 
     /** @returns an error as the caller is told: a cancelled operation whose time ran out has timed out. */
-    [[nodiscard]] auto told (boost::system::error_code error) const -> std::error_code;
+    [[nodiscard]] auto callerError (boost::system::error_code error) const -> std::error_code;
 
     ConnectionPool& pool;
     tcp::endpoint endpoint;
     CallTimeouts timeouts;
     std::unique_ptr<UpstreamConnection> connection;
     std::optional<Parser> parser;
-    std::array<char, pieceBytes> piece;
-    CallStage reached = CallStage::planned;
-    bool headOnly = false;
+    std::array<char, bodyBufferBytes> bodyBuffer;
+    CallStage currentStage = CallStage::notSent;
+    bool isHeadRequest = false;
     /** Whether the answer was read whole and the connection may serve another call. */
     bool reusable = false;
     bool cancelled = false;
--- a/modules/snowrudder_net/concurrency/EventLoop.h
+++ b/modules/snowrudder_net/concurrency/EventLoop.h
@@ -16,7 +16,7 @@
     using boost::asio::io_context::io_context;
 
     /** Ends all coroutines that wait in the loop. To be called after run() has returned; nothing runs in it afterwards. */
-    auto endWaiting() -> void { shutdown(); }
+    auto destroyWaitingCoroutines() -> void { shutdown(); }
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/RunAll.h
+++ b/modules/snowrudder_net/concurrency/RunAll.h
@@ -16,28 +16,28 @@
 template <typename MakeTask>
 auto runAll (asio::io_context& loop, std::size_t count, MakeTask makeTask) -> Task<void>
 {
-    struct Waiting
+    struct PendingTasks
     {
-        explicit Waiting (asio::io_context& eventLoop) : timer (eventLoop, TimePoint::max()) {}
+        explicit PendingTasks (asio::io_context& eventLoop) : timer (eventLoop, TimePoint::max()) {}
 
-        std::size_t left = 0;
+        std::size_t remaining = 0;
         asio::steady_timer timer;
     };
 
-    const auto waiting = std::make_shared<Waiting> (loop);
-    waiting->left = count;
+    const auto pending = std::make_shared<PendingTasks> (loop);
+    pending->remaining = count;
 
     for (auto index = std::size_t { 0 }; index < count; ++index)
         asio::co_spawn (loop, makeTask (index),
-                        [waiting] (auto)
+                        [pending] (auto)
                         {
-                            if (--waiting->left == 0)
-                                waiting->timer.cancel();
+                            if (--pending->remaining == 0)
+                                pending->timer.cancel();
                         });
 
     // Tasks end on this loop only, so none can end between the question and the wait.
-    if (waiting->left > 0)
-        co_await waiting->timer.async_wait (asTuple);
+    if (pending->remaining > 0)
+        co_await pending->timer.async_wait (asTuple);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/Watchdog.cpp
+++ b/modules/snowrudder_net/concurrency/Watchdog.cpp
@@ -3,7 +3,7 @@
 namespace snowrudder
 {
 
-auto Watchdog::Entries::wake() -> void
+auto Watchdog::Entries::startTimer() -> void
 {
     if (isRunning)
         return;
@@ -16,11 +16,11 @@
             self->isRunning = false;
 
             if (! error)
-                self->look();
+                self->cancelExpired();
         });
 }
 
-auto Watchdog::Entries::look() -> void
+auto Watchdog::Entries::cancelExpired() -> void
 {
     const auto now = SteadyClock::now();
     auto hasDeadline = false;
@@ -44,7 +44,7 @@
 
     // With nothing to watch the timer rests, and a loop without other work can end.
     if (hasDeadline)
-        wake();
+        startTimer();
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/Watchdog.h
+++ b/modules/snowrudder_net/concurrency/Watchdog.h
@@ -42,8 +42,8 @@
     {
         explicit Entries (const asio::any_io_executor& executor) : timer (executor) {}
 
-        auto wake() -> void;
-        auto look() -> void;
+        auto startTimer() -> void;
+        auto cancelExpired() -> void;
 
         std::list<Entry> list;
         asio::steady_timer timer;
@@ -59,11 +59,11 @@
 public:
     Watch (Watchdog& watchdog, tcp::socket& socket)
         : entries (watchdog.entries),
-          place (entries->list.insert (entries->list.end(), Entry { &socket, {}, false }))
+          position (entries->list.insert (entries->list.end(), Entry { &socket, {}, false }))
     {
     }
 
-    ~Watch() { entries->list.erase (place); }
+    ~Watch() { entries->list.erase (position); }
 
     Watch (const Watch&) = delete;
     auto operator= (const Watch&) -> Watch& = delete;
@@ -71,20 +71,20 @@
     /** Sets the time that the next operations may take, all together. */
     auto start (Duration time) -> void
     {
-        place->deadline = SteadyClock::now() + time;
-        place->expired = false;
-        entries->wake();
+        position->deadline = SteadyClock::now() + time;
+        position->expired = false;
+        entries->startTimer();
     }
 
     /** Lets operations take any time. */
-    auto stop() -> void { place->deadline.reset(); }
+    auto stop() -> void { position->deadline.reset(); }
 
     /** @returns whether the time ran out: the operation in progress was cancelled. */
-    [[nodiscard]] auto hasExpired() const -> bool { return place->expired; }
+    [[nodiscard]] auto hasExpired() const -> bool { return position->expired; }
 
 private:
     std::shared_ptr<Entries> entries;
-    std::list<Entry>::iterator place;
+    std::list<Entry>::iterator position;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/WorkerPool.cpp
+++ b/modules/snowrudder_net/concurrency/WorkerPool.cpp
@@ -5,11 +5,11 @@
 
 WorkerPool::WorkerPool (std::size_t workerCount)
 {
-    constexpr auto threadsALoop = 1;
+    constexpr auto threadsPerLoop = 1;
 
     for (auto index = std::size_t { 0 }; index < workerCount; ++index)
     {
-        auto& loop = loops.emplace_back (threadsALoop);
+        auto& loop = loops.emplace_back (threadsPerLoop);
         guards.push_back (asio::make_work_guard (loop));
     }
 }
@@ -41,14 +41,14 @@
         loop.stop();
 }
 
-auto WorkerPool::endWaiting() -> void
+auto WorkerPool::destroyWaitingCoroutines() -> void
 {
     // What ends in one loop may wake what waits in another: the second round takes what the first has left there.
     constexpr auto rounds = 2;
 
     for (auto round = 0; round < rounds; ++round)
         for (auto& loop : loops)
-            loop.endWaiting();
+            loop.destroyWaitingCoroutines();
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/WorkerPool.h
+++ b/modules/snowrudder_net/concurrency/WorkerPool.h
@@ -39,7 +39,7 @@
     /** Ends what still waits in the loops, while all loops and all that it refers to are there. To be called once the threads
         have been joined and before anything that coroutines use is destroyed.
     */
-    auto endWaiting() -> void;
+    auto destroyWaitingCoroutines() -> void;
 
 private:
     using WorkGuard = asio::executor_work_guard<asio::io_context::executor_type>;
--- a/modules/snowrudder_net/server/Exchange.cpp
+++ b/modules/snowrudder_net/server/Exchange.cpp
@@ -12,7 +12,7 @@
 
 /** Waits for the socket to become readable, which for a caller that awaits its answer means that it went. */
 template <typename Watch>
-auto watchSocket (tcp::socket& socket, std::shared_ptr<Watch> watch, std::function<void()> onGone)
+auto watchSocket (tcp::socket& socket, std::shared_ptr<Watch> watch, std::function<void()> onDisconnect)
     -> Task<void>
 {
     const auto [error] = co_await socket.async_wait (tcp::socket::wait_read, asTuple);
@@ -27,8 +27,8 @@
     if (isPipelined)
         co_return;
 
-    watch->gone = true;
-    onGone();
+    watch->disconnected = true;
+    onDisconnect();
 }
 
 } // namespace
@@ -69,7 +69,7 @@
     requireInvariant (! begun, "a caller gets one answer");
     begun = true;
 
-    const auto keepAlive = received.keep_alive() && ! closing;
+    const auto keepAlive = received.keep_alive() && ! closesAfterResponse;
     response.version (received.version());
     response.set (http::field::server, toBeast (serverName));
     response.keep_alive (keepAlive);
@@ -117,11 +117,11 @@
     chunked = received.version() >= 11 && ! header.has_content_length();
 
     if (received.version() < 11)
-        closing = true;
+        closesAfterResponse = true;
 
     header.version (received.version());
     header.set (http::field::server, toBeast (serverName));
-    header.keep_alive (received.keep_alive() && ! closing);
+    header.keep_alive (received.keep_alive() && ! closesAfterResponse);
 
     if (chunked)
         header.chunked (true);
@@ -132,13 +132,13 @@
     co_return error;
 }
 
-auto Exchange::writePiece (std::string_view piece) -> Task<std::error_code>
+auto Exchange::writeBodyPart (std::string_view data) -> Task<std::error_code>
 {
-    if (piece.empty())
+    if (data.empty())
         co_return std::error_code();
 
     deadline.start (limits.writeTimeout);
-    const auto buffer = asio::const_buffer (piece.data(), piece.size());
+    const auto buffer = asio::const_buffer (data.data(), data.size());
 
     if (chunked)
     {
@@ -166,10 +166,10 @@
     co_return error;
 }
 
-auto Exchange::watchCaller (std::function<void()> onGone) -> void
+auto Exchange::watchCaller (std::function<void()> onDisconnect) -> void
 {
     watch = std::make_shared<Watch>();
-    asio::co_spawn (executor(), watchSocket (stream, watch, std::move (onGone)), asio::detached);
+    asio::co_spawn (executor(), watchSocket (stream, watch, std::move (onDisconnect)), asio::detached);
 }
 
 auto Exchange::stopWatching() -> void
@@ -179,7 +179,7 @@
 
     watch->active = false;
 
-    if (! watch->gone)
+    if (! watch->disconnected)
     {
         boost::system::error_code ignored;
         stream.cancel (ignored);
--- a/modules/snowrudder_net/server/Exchange.h
+++ b/modules/snowrudder_net/server/Exchange.h
@@ -67,7 +67,7 @@
     auto beginStream (http::response<http::empty_body> header) -> Task<std::error_code>;
 
     /** Sends a piece of the body. It ends when the caller's socket took the bytes: back pressure. */
-    auto writePiece (std::string_view piece) -> Task<std::error_code>;
+    auto writeBodyPart (std::string_view data) -> Task<std::error_code>;
 
     /** Ends the body. */
     auto endStream() -> Task<std::error_code>;
@@ -76,18 +76,21 @@
     [[nodiscard]] auto hasEnded() const -> bool { return ended; }
 
     /** @returns whether the connection can serve another request. */
-    [[nodiscard]] auto keepsAlive() const -> bool { return ended && ! closing && received.keep_alive(); }
+    [[nodiscard]] auto isKeepAlive() const -> bool
+    {
+        return ended && ! closesAfterResponse && received.keep_alive();
+    }
 
     /** Closes the connection after this answer. */
-    auto closeAfter() -> void { closing = true; }
+    auto closeAfterResponse() -> void { closesAfterResponse = true; }
 
     /** Watches the connection while an answer is being made.
 
-        @param onGone  called on the event loop once the caller has gone; never after stopWatching()
+        @param onDisconnect  called on the event loop once the caller has gone; never after stopWatching()
     */
-    auto watchCaller (std::function<void()> onGone) -> void;
+    auto watchCaller (std::function<void()> onDisconnect) -> void;
     auto stopWatching() -> void;
-    [[nodiscard]] auto callerGone() const -> bool { return watch && watch->gone; }
+    [[nodiscard]] auto hasCallerDisconnected() const -> bool { return watch && watch->disconnected; }
 
     [[nodiscard]] auto executor() -> asio::any_io_executor { return stream.get_executor(); }
 
@@ -95,7 +98,7 @@
     struct Watch
     {
         bool active = true;
-        bool gone = false;
+        bool disconnected = false;
     };
 
     tcp::socket& stream;
@@ -104,7 +107,7 @@
     const ServerLimits& limits;
     bool begun = false;
     bool ended = false;
-    bool closing = false;
+    bool closesAfterResponse = false;
     bool chunked = true;
     std::shared_ptr<Watch> watch;
 };
--- a/modules/snowrudder_net/server/HttpServer.cpp
+++ b/modules/snowrudder_net/server/HttpServer.cpp
@@ -11,7 +11,7 @@
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
 /** Why a request could not be read, or nothing when the connection just ended. */
-auto kindOfReadError (boost::system::error_code error) -> std::optional<ErrorKind>
+auto errorKindOf (boost::system::error_code error) -> std::optional<ErrorKind>
 {
     if (error == http::error::end_of_stream || error == asio::error::connection_reset ||
         error == asio::error::operation_aborted || error == asio::error::eof)
@@ -94,7 +94,7 @@
 
     acceptor.close (error);
 
-    for (auto* connection : resting)
+    for (auto* connection : idleConnections)
         connection->cancel (error);
 }
 
@@ -147,26 +147,26 @@
             co_return;
         }
 
-        if (std::holds_alternative<ConnectionEnd> (received))
+        if (std::holds_alternative<ConnectionClosed> (received))
             co_return;
 
         Exchange exchange (stream, deadline, std::get<HttpRequest> (std::move (received)), limits);
 
         if (draining)
-            exchange.closeAfter();
+            exchange.closeAfterResponse();
 
         busy.fetch_add (1);
         co_await handler (exchange);
         exchange.stopWatching();
         busy.fetch_sub (1);
 
-        if (! exchange.keepsAlive())
+        if (! exchange.isKeepAlive())
             co_return;
     }
 }
 
 auto HttpServer::readRequest (tcp::socket& stream, beast::flat_buffer& buffer, Watchdog::Watch& deadline)
-    -> Task<Received>
+    -> Task<ReadResult>
 {
     http::request_parser<http::string_body> parser;
     parser.header_limit (limits.headerBytes);
@@ -175,13 +175,13 @@
     if (buffer.size() == 0)
     {
         deadline.start (limits.idleTimeout);
-        resting.insert (&stream);
+        idleConnections.insert (&stream);
         const auto [waitError] = co_await stream.async_wait (tcp::socket::wait_read, asTuple);
 
-        resting.erase (&stream);
+        idleConnections.erase (&stream);
 
         if (waitError)
-            co_return ConnectionEnd {};
+            co_return ConnectionClosed {};
     }
 
     deadline.start (limits.headerTimeout);
@@ -195,8 +195,8 @@
         if (deadline.hasExpired() && parser.got_some())
             co_return ErrorKind::callerTimeout;
 
-        const auto kind = kindOfReadError (headerError);
-        co_return kind ? Received (*kind) : Received (ConnectionEnd {});
+        const auto kind = errorKindOf (headerError);
+        co_return kind ? ReadResult (*kind) : ReadResult (ConnectionClosed {});
     }
 
     if (beast::iequals (parser.get()[http::field::expect], "100-continue"))
@@ -211,8 +211,8 @@
     if (bodyError)
     {
         const auto kind =
-            deadline.hasExpired() ? std::optional (ErrorKind::callerTimeout) : kindOfReadError (bodyError);
-        co_return kind ? Received (*kind) : Received (ConnectionEnd {});
+            deadline.hasExpired() ? std::optional (ErrorKind::callerTimeout) : errorKindOf (bodyError);
+        co_return kind ? ReadResult (*kind) : ReadResult (ConnectionClosed {});
     }
 
     co_return parser.release();
--- a/modules/snowrudder_net/server/HttpServer.h
+++ b/modules/snowrudder_net/server/HttpServer.h
@@ -50,17 +50,17 @@
 
 private:
     /** The connection ended, and nobody is there to be told. */
-    struct ConnectionEnd
+    struct ConnectionClosed
     {
     };
 
-    using Received = std::variant<HttpRequest, ErrorKind, ConnectionEnd>;
+    using ReadResult = std::variant<HttpRequest, ErrorKind, ConnectionClosed>;
 
     auto acceptLoop() -> Task<void>;
     auto serveConnection (tcp::socket socket) -> Task<void>;
     auto serveRequests (tcp::socket& stream) -> Task<void>;
     auto readRequest (tcp::socket& stream, beast::flat_buffer& buffer, Watchdog::Watch& deadline)
-        -> Task<Received>;
+        -> Task<ReadResult>;
     auto reject (tcp::socket& stream, Watchdog::Watch& deadline, ErrorKind kind) -> Task<void>;
 
     asio::io_context& loop;
@@ -70,7 +70,7 @@
     tcp::acceptor acceptor;
     Watchdog watchdog;
     /** Connections that rest between requests. */
-    std::set<tcp::socket*> resting;
+    std::set<tcp::socket*> idleConnections;
     bool draining = false;
     std::atomic<std::size_t> busy { 0 };
 };
--- a/modules/snowrudder_net/server/ProblemResponse.cpp
+++ b/modules/snowrudder_net/server/ProblemResponse.cpp
@@ -17,8 +17,8 @@
     // Whole seconds are what every caller of HTTP understands.
     if (problem.retryAfter)
     {
-        const auto whole = std::max (1s, std::chrono::ceil<std::chrono::seconds> (*problem.retryAfter));
-        response.set (http::field::retry_after, std::to_string (whole.count()));
+        const auto seconds = std::max (1s, std::chrono::ceil<std::chrono::seconds> (*problem.retryAfter));
+        response.set (http::field::retry_after, std::to_string (seconds.count()));
     }
 
     response.body() = problemBody (problem, requestId, extra);
--- a/modules/snowrudder_net/server/RunServer.cpp
+++ b/modules/snowrudder_net/server/RunServer.cpp
@@ -20,7 +20,7 @@
 
     if (const auto error = server->listen (parseEndpoint (listen)))
     {
-        loop.endWaiting();
+        loop.destroyWaitingCoroutines();
         std::fprintf (stderr, "%s: can't listen on %s: %s\n", program.c_str(), listen.c_str(),
                       error.message().c_str());
         return static_cast<int> (ExitCode::unavailable);
@@ -31,7 +31,7 @@
 
     LogLine ("started").with ("listen", listen).info();
     loop.run();
-    loop.endWaiting();
+    loop.destroyWaitingCoroutines();
     return static_cast<int> (ExitCode::success);
 }
 
--- a/modules/snowrudder_net/stream/EventReader.cpp
+++ b/modules/snowrudder_net/stream/EventReader.cpp
@@ -40,7 +40,7 @@
         if (line.ends_with ('\r'))
             line.remove_suffix (1);
 
-        if (takeLine (line))
+        if (parseLine (line))
         {
             wasReturned = true;
             return data;
@@ -48,7 +48,7 @@
     }
 }
 
-auto EventReader::takeLine (std::string_view line) -> bool
+auto EventReader::parseLine (std::string_view line) -> bool
 {
     constexpr auto field = std::string_view ("data:");
 
--- a/modules/snowrudder_net/stream/EventReader.h
+++ b/modules/snowrudder_net/stream/EventReader.h
@@ -25,7 +25,7 @@
     [[nodiscard]] auto pendingBytes() const -> std::size_t { return buffer.size() - position; }
 
 private:
-    auto takeLine (std::string_view line) -> bool;
+    auto parseLine (std::string_view line) -> bool;
 
     std::string buffer;
     std::size_t position = 0;
--- a/modules/snowrudder_platform/client/PlatformClient.cpp
+++ b/modules/snowrudder_platform/client/PlatformClient.cpp
@@ -17,12 +17,12 @@
 }
 
 /** What a write's answer, or the lack of one, proves. */
-auto writeOutcome (const SimpleAnswer& answer) -> WriteOutcome
+auto writeOutcome (const SimpleResponse& answer) -> WriteOutcome
 {
-    if (answer.isGood())
+    if (answer.hasSucceeded())
         return WriteOutcome::done;
 
-    if (answer.stage == CallStage::planned)
+    if (answer.stage == CallStage::notSent)
         return WriteOutcome::refused;
 
     if (answer.error)
@@ -43,7 +43,7 @@
                            std::string_view target,
                            json::object body,
                            std::string_view purpose,
-                           Duration timeout) -> Task<SimpleAnswer>
+                           Duration timeout) -> Task<SimpleResponse>
 {
     const auto label = "purpose=\"" + std::string (purpose) + "\"";
     metrics.counter ("snowrudder_platform_calls_total", label).add();
@@ -57,7 +57,7 @@
     auto answer =
         co_await callOnce (pool, endpoint, makeRequest (method, target, std::move (text)), timeouts);
 
-    if (! answer.isGood())
+    if (! answer.hasSucceeded())
         metrics.counter ("snowrudder_platform_failed_calls_total", label).add();
 
     co_return answer;
@@ -68,7 +68,7 @@
     json::object body;
     body["key"] = key;
     const auto answer = co_await call (http::verb::post, "/kv/get", std::move (body), purpose, usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto object = answer.hasSucceeded() ? parseObject (answer.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -82,7 +82,7 @@
     json::object body;
     body["prefix"] = prefix;
     const auto answer = co_await call (http::verb::post, "/kv/list", std::move (body), purpose, usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto object = answer.hasSucceeded() ? parseObject (answer.body) : std::nullopt;
     const auto* values = object ? object->if_contains ("values") : nullptr;
 
     if (values == nullptr || ! values->is_array())
@@ -126,7 +126,7 @@
     body["wait_milliseconds"] = std::chrono::duration_cast<std::chrono::milliseconds> (wait).count();
     const auto answer =
         co_await call (http::verb::post, "/kv/watch", std::move (body), purpose, wait + usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto object = answer.hasSucceeded() ? parseObject (answer.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -140,7 +140,7 @@
     body["milliseconds"] = std::chrono::duration_cast<std::chrono::milliseconds> (length).count();
     const auto answer =
         co_await call (http::verb::post, "/lease/grant", std::move (body), "lease", usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto object = answer.hasSucceeded() ? parseObject (answer.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -170,7 +170,7 @@
 {
     auto answer = co_await call (http::verb::get, "/vms", {}, "vm_list", usualTimeout);
 
-    if (! answer.isGood())
+    if (! answer.hasSucceeded())
         co_return std::nullopt;
 
     co_return std::move (answer.body);
--- a/modules/snowrudder_platform/client/PlatformClient.h
+++ b/modules/snowrudder_platform/client/PlatformClient.h
@@ -94,7 +94,7 @@
                std::string_view target,
                boost::json::object body,
                std::string_view purpose,
-               Duration timeout) -> Task<SimpleAnswer>;
+               Duration timeout) -> Task<SimpleResponse>;
 
     ConnectionPool& pool;
     tcp::endpoint endpoint;
--- a/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
@@ -5,7 +5,7 @@
 
 auto ranAfter (const AttemptOutcome& outcome) -> Ran
 {
-    if (outcome.stage == CallStage::planned || outcome.cause == FailureCause::refused ||
+    if (outcome.stage == CallStage::notSent || outcome.cause == FailureCause::refused ||
         outcome.cause == FailureCause::misdirected)
         return Ran::no;
 
@@ -19,7 +19,7 @@
 
 auto mayShowCrash (const AttemptOutcome& outcome) -> bool
 {
-    const auto mayHaveBegun = outcome.stage == CallStage::sent || outcome.stage == CallStage::answering;
+    const auto mayHaveBegun = outcome.stage == CallStage::sent || outcome.stage == CallStage::receiving;
     return mayHaveBegun && outcome.cause == FailureCause::cut;
 }
 
--- a/modules/snowrudder_requests/attempt/AttemptOutcome.h
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.h
@@ -38,7 +38,7 @@
 /** One attempt that failed. */
 struct AttemptOutcome
 {
-    CallStage stage = CallStage::planned;
+    CallStage stage = CallStage::notSent;
     FailureCause cause = FailureCause::connectFailed;
 };
 
--- a/modules/snowrudder_requests/retry/RetryDecision.cpp
+++ b/modules/snowrudder_requests/retry/RetryDecision.cpp
@@ -45,7 +45,7 @@
 
     const auto pause = metNobody (outcome) ? Duration::zero() : pauseAfter (input.attempts, input.jitter);
     // An attempt that no replica has seen adds nothing to their work.
-    const auto takesBudget = ! input.answerBegun && outcome.stage != CallStage::planned;
+    const auto takesBudget = ! input.answerBegun && outcome.stage != CallStage::notSent;
 
     if (input.attempts >= input.mostAttempts || now + pause >= input.deadline ||
         (takesBudget && ! input.budgetLeft))
--- a/modules/snowrudder_router/Router.cpp
+++ b/modules/snowrudder_router/Router.cpp
@@ -41,7 +41,7 @@
 {
     pool.stop();
     pool.join();
-    pool.endWaiting();
+    pool.destroyWaitingCoroutines();
 }
 
 auto Router::run() -> std::error_code
--- a/modules/snowrudder_router/background/LoadWatcher.cpp
+++ b/modules/snowrudder_router/background/LoadWatcher.cpp
@@ -50,7 +50,7 @@
         co_return;
     }
 
-    if (const auto report = answer.isGood() ? readReport (answer.body) : std::nullopt)
+    if (const auto report = answer.hasSucceeded() ? readReport (answer.body) : std::nullopt)
         state.replicas.noteLoad (watched.number, *report, now);
 }
 
--- a/modules/snowrudder_router/gateway/Gateway.cpp
+++ b/modules/snowrudder_router/gateway/Gateway.cpp
@@ -115,7 +115,7 @@
 
     // The balancer is told to go elsewhere, and so is a caller that keeps its connection.
     if (state.leaving)
-        exchange.closeAfter();
+        exchange.closeAfterResponse();
 
     CallerScope scope;
 
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -153,7 +153,7 @@
     if (judgement.verdict == CrashVerdict::stopped)
     {
         state.crashes.noteStopped (fingerprint, idText, judgement, SteadyClock::now());
-        co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
+        co_return AttemptOutcome { CallStage::notSent, FailureCause::stopped };
     }
 
     state.counts.attempts.add();
@@ -176,7 +176,7 @@
         // All have been tried: the next attempt may try them again.
         tried.clear();
         lastReplica = {};
-        co_return AttemptOutcome { CallStage::planned, FailureCause::noReplica };
+        co_return AttemptOutcome { CallStage::notSent, FailureCause::noReplica };
     }
 
     logDecision (idText, account->name, *taken, attempts);
@@ -315,7 +315,7 @@
 
     // An end without a reason is no whole answer.
     if (std::holds_alternative<StreamError> (event) || finishReason.empty())
-        return AttemptOutcome { CallStage::answering, FailureCause::failed };
+        return AttemptOutcome { CallStage::receiving, FailureCause::failed };
 
     auto usage = firstUsage.value_or (Usage {});
     usage.completionTokens = earlierTokens + attemptTokens;
@@ -394,7 +394,7 @@
     auto call = makeRequest (http::verb::post, "/kv/export", json::serialize (body));
     auto answer = co_await callOnce (worker.pool, parseEndpoint (replica.endpoint), std::move (call),
                                      timeouts, largestCacheList);
-    exportedCache = answer.isGood() ? std::move (answer.body) : std::string();
+    exportedCache = answer.hasSucceeded() ? std::move (answer.body) : std::string();
 }
 
 auto ModelRun::importCache (const ReplicaInfo& replica) -> Task<void>
--- a/modules/snowrudder_router/model/RecordRelay.cpp
+++ b/modules/snowrudder_router/model/RecordRelay.cpp
@@ -69,7 +69,7 @@
         {
             const auto wasNotified = co_await signal.wait (SteadyClock::now() + quietTime);
 
-            if (exchange.callerGone())
+            if (exchange.hasCallerDisconnected())
                 co_return;
 
             if (wasNotified)
@@ -81,7 +81,7 @@
         if (! exchange.hasBegun() && co_await beginEvents (exchange, id))
             co_return;
 
-        if (co_await exchange.writePiece (events))
+        if (co_await exchange.writeBodyPart (events))
             co_return;
 
         record.noteRead (after);
@@ -103,7 +103,7 @@
     {
         co_await signal.wait (SteadyClock::now() + quietTime);
 
-        if (exchange.callerGone())
+        if (exchange.hasCallerDisconnected())
             co_return;
     }
 
--- a/modules/snowrudder_router/model/RequestHandover.cpp
+++ b/modules/snowrudder_router/model/RequestHandover.cpp
@@ -56,7 +56,7 @@
         const auto answer = co_await callPeer (state, worker, heir->endpoint(), std::move (request),
                                                { handTime, handTime, handTime });
 
-        if (answer.isGood())
+        if (answer.hasSucceeded())
             co_return heir->name();
     }
 
--- a/modules/snowrudder_router/once/SlotHandover.cpp
+++ b/modules/snowrudder_router/once/SlotHandover.cpp
@@ -197,7 +197,7 @@
         const auto answer = co_await callPeer (state, worker, share.endpoint, std::move (request),
                                                { handTime, handTime, handTime });
 
-        if (! answer.isGood())
+        if (! answer.hasSucceeded())
         {
             LogLine ("slots_not_taken").with ("by", name).warning();
             continue;
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -24,7 +24,7 @@
     auto request = makeRequest (http::verb::post, crashesTarget, told);
     const auto answer = co_await callPeer (state, worker, peer.endpoint(), std::move (request), timeouts);
 
-    if (answer.isGood())
+    if (answer.hasSucceeded())
         exchangeCrashes (state, answer.body);
 }
 
--- a/modules/snowrudder_router/peers/PeerCalls.cpp
+++ b/modules/snowrudder_router/peers/PeerCalls.cpp
@@ -27,7 +27,7 @@
 
 auto signingPeer (const RouterState& state, const HttpRequest& request) -> std::optional<std::string>
 {
-    return signerOf (state.settings.node_secret(), request);
+    return verifiedSigner (state.settings.node_secret(), request);
 }
 
 auto findPeer (const RouterState& state, std::string_view name) -> const schema::Peer*
@@ -71,7 +71,7 @@
                Worker& worker,
                const std::string& endpoint,
                HttpRequest request,
-               CallTimeouts timeouts) -> Task<SimpleAnswer>
+               CallTimeouts timeouts) -> Task<SimpleResponse>
 {
     signRequest (state, request);
     return callOnce (worker.pool, parseEndpoint (endpoint), std::move (request), timeouts);
--- a/modules/snowrudder_router/peers/PeerCalls.h
+++ b/modules/snowrudder_router/peers/PeerCalls.h
@@ -33,6 +33,6 @@
                Worker& worker,
                const std::string& endpoint,
                HttpRequest request,
-               CallTimeouts timeouts) -> Task<SimpleAnswer>;
+               CallTimeouts timeouts) -> Task<SimpleResponse>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/peers/TreeExchange.cpp
+++ b/modules/snowrudder_router/peers/TreeExchange.cpp
@@ -30,7 +30,7 @@
     const auto answer = co_await callPeer (state, worker, peer.endpoint(), std::move (request), timeouts);
     schema::TreeExchange theirs;
 
-    if (! answer.isGood() || ! theirs.ParseFromString (answer.body))
+    if (! answer.hasSucceeded() || ! theirs.ParseFromString (answer.body))
         co_return;
 
     takeTree (state, theirs);
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -121,7 +121,7 @@
         const SuspectRanking ranking (state.crashes.table(), input.fingerprint, judgement, 0.0);
         ranking.applyTo (choice);
 
-        AttemptResult result = AttemptOutcome { CallStage::planned, FailureCause::noReplica };
+        AttemptResult result = AttemptOutcome { CallStage::notSent, FailureCause::noReplica };
         std::string_view after = "not_asked";
 
         if (const auto taken = state.replicas.take (input.service->name, choice,
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -219,7 +219,7 @@
     state.counts.requests.add();
 
     if (state.leaving)
-        exchange.closeAfter();
+        exchange.closeAfterResponse();
 
     if (const auto* problem = std::get_if<Problem> (&read))
     {
--- a/modules/snowrudder_serving/node/ServingNode.cpp
+++ b/modules/snowrudder_serving/node/ServingNode.cpp
@@ -151,7 +151,7 @@
     {
         const auto now = SteadyClock::now();
         state.trueTime.compare (now, wallTimeNow().time_since_epoch());
-        state.pool.closeOld (now);
+        state.pool.closeExpired (now);
         state.quota.charge (state.peers.assumeSilent (sweepInterval, now), now);
 
         if (state.role() == ReportRole::reader)
@@ -164,7 +164,7 @@
         state.crashes.table().forgetOld (now);
 
         if (state.configuration.current)
-            state.pool.setMostIdle (mostIdleConnections (*state.configuration.current, state.memberCount()));
+            state.pool.setMaxIdle (mostIdleConnections (*state.configuration.current, state.memberCount()));
 
         if (state.configuration.current)
             for (const auto& [name, service] : state.configuration.current->services)
--- a/modules/snowrudder_serving/relay/AnswerRelay.cpp
+++ b/modules/snowrudder_serving/relay/AnswerRelay.cpp
@@ -75,7 +75,7 @@
     // Each piece is read only when the one before has left: a slow caller slows the upstream.
     while (! body.empty() || ! call.isDone())
     {
-        if (co_await exchange.writePiece (body))
+        if (co_await exchange.writeBodyPart (body))
             co_return;
 
         body.clear();
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -134,12 +134,12 @@
     if (judgement.verdict == CrashVerdict::stopped)
     {
         state.crashes.noteStopped (request.fingerprint, request.caller.id, judgement, SteadyClock::now());
-        co_return AttemptOutcome { CallStage::planned, FailureCause::stopped };
+        co_return AttemptOutcome { CallStage::notSent, FailureCause::stopped };
     }
 
     // The wait for a verdict may have outlasted the caller or the request's time.
     if (isCallerGone || SteadyClock::now() >= request.end)
-        co_return AttemptOutcome { CallStage::planned,
+        co_return AttemptOutcome { CallStage::notSent,
                                    isCallerGone ? FailureCause::abandoned : FailureCause::deadline };
 
     auto taken = takeReplica (judgement);
@@ -148,7 +148,7 @@
     {
         lastReplica = {};
         tried.clear();
-        co_return AttemptOutcome { CallStage::planned, FailureCause::noReplica };
+        co_return AttemptOutcome { CallStage::notSent, FailureCause::noReplica };
     }
 
     state.counts.attempts.add();
@@ -224,7 +224,7 @@
 
     if (! answer.isOwn)
     {
-        call.distrust();
+        call.preventReuse();
         return failed (call, FailureCause::invalid);
     }
 
@@ -304,13 +304,13 @@
         if (! whole.empty())
             notePause();
 
-        if (co_await exchange.writePiece (whole))
+        if (co_await exchange.writeBodyPart (whole))
             co_return Failure {};
     }
 
     // What stands behind the last whole event belongs to the body too.
     if (events.hasPartial())
-        if (co_await exchange.writePiece (events.partialBytes()))
+        if (co_await exchange.writeBodyPart (events.partialBytes()))
             co_return Failure {};
 
     noteWhole (call);
--- a/tests/bench/ServingWorld.cpp
+++ b/tests/bench/ServingWorld.cpp
@@ -258,7 +258,7 @@
     if (! taken)
     {
         request.tried.clear();
-        fail (index, { CallStage::planned, FailureCause::connectFailed });
+        fail (index, { CallStage::notSent, FailureCause::connectFailed });
         return;
     }
 
@@ -270,7 +270,7 @@
 
     if (found == engines.end() || ! found->alive || isOutage())
     {
-        fail (index, { CallStage::planned, FailureCause::connectFailed });
+        fail (index, { CallStage::notSent, FailureCause::connectFailed });
         return;
     }
 
@@ -297,7 +297,7 @@
     byEngineId[call.id] = index;
 
     if (! found->model->submit (std::move (call)))
-        fail (index, { CallStage::answering, FailureCause::refused });
+        fail (index, { CallStage::receiving, FailureCause::refused });
 }
 
 auto ServingWorld::take (std::size_t index, const EngineStep& step) -> void
@@ -437,7 +437,7 @@
 
                         model.cancel (request.engineId);
                         ++result.moves;
-                        fail (index, { CallStage::answering, FailureCause::moved });
+                        fail (index, { CallStage::receiving, FailureCause::moved });
                     }
                 });
     time.after (plan.reclaimEvery, [this] { reclaim(); });
--- a/tests/random/KeyedWorld.cpp
+++ b/tests/random/KeyedWorld.cpp
@@ -383,9 +383,9 @@
     AttemptOutcome outcome { CallStage::sent, FailureCause::cut };
 
     if (fate < 8)
-        outcome = { CallStage::planned, FailureCause::connectFailed };
+        outcome = { CallStage::notSent, FailureCause::connectFailed };
     else if (fate < 14)
-        outcome = { CallStage::answering, FailureCause::refused };
+        outcome = { CallStage::receiving, FailureCause::refused };
     else
         ++runs[calls[call].entry.key];
 
--- a/tests/random/StreamWorld.cpp
+++ b/tests/random/StreamWorld.cpp
@@ -192,7 +192,7 @@
     if (! taken)
     {
         request.tried.clear();
-        fail (index, { CallStage::planned, FailureCause::connectFailed });
+        fail (index, { CallStage::notSent, FailureCause::connectFailed });
         return;
     }
 
@@ -206,7 +206,7 @@
 
     if (! engine.alive)
     {
-        fail (index, { CallStage::planned, FailureCause::connectFailed });
+        fail (index, { CallStage::notSent, FailureCause::connectFailed });
         return;
     }
 
@@ -223,7 +223,7 @@
     owners[{ request.engine, call.id }] = index;
 
     if (! engine.model->submit (std::move (call)))
-        fail (index, { CallStage::answering, FailureCause::refused });
+        fail (index, { CallStage::receiving, FailureCause::refused });
 }
 
 auto StreamWorld::take (std::size_t index, std::uint64_t engineId, const EngineStep& step) -> void
@@ -294,11 +294,11 @@
             continue;
 
         if (! engines[request.engine].alive)
-            fail (index, { CallStage::answering, FailureCause::cut });
+            fail (index, { CallStage::receiving, FailureCause::cut });
         else if (replicas.isLeaving (request.ticket->number))
-            fail (index, { CallStage::answering, FailureCause::moved });
+            fail (index, { CallStage::receiving, FailureCause::moved });
         else if (time.now() - request.lastProgress >= stallTime)
-            fail (index, { CallStage::answering, FailureCause::timedOut });
+            fail (index, { CallStage::receiving, FailureCause::timedOut });
     }
 
     if (time.chance (0.1))
--- a/tests/unit/NetTests.cpp
+++ b/tests/unit/NetTests.cpp
@@ -37,20 +37,20 @@
     ConnectionPool pool (loop.get_executor());
     std::vector<tcp::socket> accepted;
     const auto now = SteadyClock::now();
-    pool.setMostIdle (2);
+    pool.setMaxIdle (2);
 
     for (auto count = 0; count < 3; ++count)
     {
-        auto connection = pool.makeNew();
+        auto connection = pool.createConnection();
         connection->stream.connect (address);
-        connection->longestIdle = 10s;
+        connection->maxIdleTime = 10s;
         accepted.push_back (acceptor.accept());
-        pool.giveBack (address, std::move (connection), now);
+        pool.returnToPool (address, std::move (connection), now);
     }
 
-    CHECK (pool.takeIdle (address, now) != nullptr);
-    CHECK (pool.takeIdle (address, now) != nullptr);
-    CHECK (pool.takeIdle (address, now) == nullptr);
+    CHECK (pool.acquireIdle (address, now) != nullptr);
+    CHECK (pool.acquireIdle (address, now) != nullptr);
+    CHECK (pool.acquireIdle (address, now) == nullptr);
 }
 
 TEST_CASE ("hop-by-hop headers are told from the others")
--- a/tests/unit/RequestTests.cpp
+++ b/tests/unit/RequestTests.cpp
@@ -78,10 +78,10 @@
 
 TEST_CASE ("only what was not sent or was refused is proved not to have run")
 {
-    CHECK (ranAfter ({ CallStage::planned, FailureCause::connectFailed }) == Ran::no);
-    CHECK (ranAfter ({ CallStage::answering, FailureCause::refused }) == Ran::no);
+    CHECK (ranAfter ({ CallStage::notSent, FailureCause::connectFailed }) == Ran::no);
+    CHECK (ranAfter ({ CallStage::receiving, FailureCause::refused }) == Ran::no);
 
-    for (const auto stage : { CallStage::sending, CallStage::sent, CallStage::answering })
+    for (const auto stage : { CallStage::sending, CallStage::sent, CallStage::receiving })
         for (const auto cause :
              { FailureCause::cut, FailureCause::timedOut, FailureCause::invalid, FailureCause::failed })
             CHECK (ranAfter ({ stage, cause }) == Ran::unknown);
@@ -95,14 +95,14 @@
 
     auto second = inputAt (false);
     second.mayHaveRun = true;
-    const auto refused = decideAfterFailure ({ CallStage::answering, FailureCause::refused }, second, now);
+    const auto refused = decideAfterFailure ({ CallStage::receiving, FailureCause::refused }, second, now);
     CHECK_FALSE (refused.again);
     CHECK (refused.ran == Ran::unknown);
 }
 
 TEST_CASE ("what was not run is tried again, within attempts, budget and deadline")
 {
-    const AttemptOutcome refused { CallStage::answering, FailureCause::refused };
+    const AttemptOutcome refused { CallStage::receiving, FailureCause::refused };
     CHECK (decideAfterFailure (refused, inputAt (false), now).again);
 
     auto last = inputAt (true);
@@ -126,9 +126,9 @@
 
 TEST_CASE ("attempts that met nobody leave a request's number of attempts and the budget untouched")
 {
-    const AttemptOutcome refusedConnection { CallStage::planned, FailureCause::connectFailed };
-    const AttemptOutcome misdirected { CallStage::answering, FailureCause::misdirected };
-    const AttemptOutcome declined { CallStage::answering, FailureCause::refused };
+    const AttemptOutcome refusedConnection { CallStage::notSent, FailureCause::connectFailed };
+    const AttemptOutcome misdirected { CallStage::receiving, FailureCause::misdirected };
+    const AttemptOutcome declined { CallStage::receiving, FailureCause::refused };
     AttemptCount count;
 
     for (auto attempt = 0; attempt < 100; ++attempt)
--- a/tests/unit/StaleEntryTests.cpp
+++ b/tests/unit/StaleEntryTests.cpp
@@ -28,7 +28,7 @@
         ChoiceInput choice;
         choice.tried = tried;
         const auto taken = table.take ("s", choice, {}, time);
-        AttemptOutcome outcome { CallStage::planned, FailureCause::noReplica };
+        AttemptOutcome outcome { CallStage::notSent, FailureCause::noReplica };
 
         if (taken)
         {
@@ -42,8 +42,8 @@
             }
 
             const auto isRefused = place % 2 == 0;
-            outcome = isRefused ? AttemptOutcome { CallStage::planned, FailureCause::connectFailed }
-                                : AttemptOutcome { CallStage::answering, FailureCause::misdirected };
+            outcome = isRefused ? AttemptOutcome { CallStage::notSent, FailureCause::connectFailed }
+                                : AttemptOutcome { CallStage::receiving, FailureCause::misdirected };
 
             if (! isRefused)
                 table.noteLeaving (taken->ticket.number, time);
