--- a/modules/snowrudder_net/client/CallStage.h
+++ b/modules/snowrudder_net/client/CallStage.h
@@ -3,18 +3,18 @@
 namespace snowrudder
 {
 
-/** How far a call to an upstream came. What may have run follows from it. */
+/** The progress of a call to an upstream. Determines whether the upstream may have run the request. */
 enum class CallStage
 {
-    /** Not a byte has left. */
+    /** No byte of the request has been sent. */
     notSent,
-    /** Some bytes may have left: the upstream may run the request. */
+    /** Part of the request may have been sent: the upstream may run it. */
     sending,
-    /** All bytes have left. */
+    /** The whole request has been sent. */
     sent,
-    /** The answer's header is here. */
+    /** The response header has been received. */
     receiving,
-    /** The whole answer is here. */
+    /** The whole response has been received. */
     finished
 };
 
--- a/modules/snowrudder_net/client/ConnectionPool.cpp
+++ b/modules/snowrudder_net/client/ConnectionPool.cpp
@@ -10,7 +10,9 @@
 namespace
 {
 
-/** An idle connection must be silent: a closed one reads as ended, a confused peer has sent bytes. */
+/** @returns whether an idle connection can be reused: it is open and has nothing to read. A closed connection reads as
+    end of stream, and a peer that violates the protocol has sent bytes without a request.
+*/
 auto isReusable (tcp::socket& stream) -> bool
 {
     char byte = 0;
--- a/modules/snowrudder_net/client/ConnectionPool.h
+++ b/modules/snowrudder_net/client/ConnectionPool.h
@@ -13,13 +13,14 @@
 namespace snowrudder
 {
 
-/** One connection to an upstream. */
+/** A connection to an upstream, with its read buffer and its deadline. */
 struct UpstreamConnection
 {
     UpstreamConnection (const asio::any_io_executor& executor, Watchdog& watchdog)
         : stream (executor), deadline (watchdog, stream)
     {
-        // Beast reads as much as the buffer has room for, and starts with room for one small message.
+        // Beast reads at most as many bytes as the buffer has capacity for. The initial capacity suits one small
+        // message.
         buffer.reserve (readBytes);
     }
 
@@ -29,11 +30,11 @@
     Watchdog::Watch deadline;
     beast::flat_buffer buffer;
     TimePoint idleSince {};
-    /** How long it may rest before it is used again. */
+    /** The connection isn't reused after it has been idle for this long. */
     Duration maxIdleTime {};
 };
 
-/** Idle connections of one event loop, by address. Belongs to its loop's thread; needs no lock. */
+/** The idle connections of one event loop, by address. Used on that loop's thread only, without a lock. */
 class ConnectionPool
 {
 public:
@@ -42,24 +43,26 @@
     {
     }
 
-    /** @returns an idle connection that the peer has not closed, or nullptr. */
+    /** @returns an idle connection that the peer has not closed, or nullptr. Drops the unusable ones that it finds. */
     auto acquireIdle (const tcp::endpoint& endpoint, TimePoint now) -> std::unique_ptr<UpstreamConnection>;
 
-    /** @returns a connection that is not yet connected. */
+    /** @returns a new connection, not yet connected. */
     [[nodiscard]] auto createConnection() -> std::unique_ptr<UpstreamConnection>
     {
         return std::make_unique<UpstreamConnection> (executor, watchdog);
     }
 
-    /** Keeps a connection for reuse. */
+    /** Returns a connection for reuse. It is closed when the limit of idle connections to its address is reached. */
     auto returnToPool (const tcp::endpoint& endpoint,
                        std::unique_ptr<UpstreamConnection> connection,
                        TimePoint now) -> void;
 
-    /** Sets how many idle connections to one address are kept; what is over is closed as it comes back. */
+    /** Sets how many idle connections are kept per address, 64 at most. Connections above the limit are closed when
+        they are returned.
+    */
     auto setMaxIdle (std::size_t connections) -> void { maxIdle = std::min (connections, maxIdlePerAddress); }
 
-    /** Closes idle connections that have rested too long. */
+    /** Closes the connections that have reached their maximum idle time. */
     auto closeExpired (TimePoint now) -> void;
 
 private:
--- a/modules/snowrudder_net/client/ProbeEndpoint.h
+++ b/modules/snowrudder_net/client/ProbeEndpoint.h
@@ -7,25 +7,25 @@
 namespace snowrudder
 {
 
-/** What an address does with a new connection. */
+/** How an address reacts to a new connection. */
 enum class EndpointState
 {
     accepts,
-    /** Something listens there and closes what it accepts: the process behind it has ended. */
+    /** The connection is accepted and then closed: the process behind the listener has ended. */
     closes,
-    /** Nothing listens there: the process has ended. */
+    /** The connection is refused, as nothing listens on the address: the process has ended. */
     refuses,
-    /** No word within the wait: its VM may be gone, or the way there. */
+    /** The connection was not established within the timeout: the VM or the network path to it may have failed. */
     silent
 };
 
-/** @returns one word for the log. */
+/** @returns the state's name as log lines have it. */
 auto toString (EndpointState state) -> std::string_view;
 
-/** Opens a connection to an address and closes it again. Nothing is sent on it.
+/** Opens a connection to an address and closes it again, without sending anything.
 
-    @param wait  for the connection
-    @param look  how long the connection is watched: whether the other side closes it
+    @param connectTimeout  the time limit for connecting
+    @param closeTimeout    how long to wait for the other side to close the connection; zero to skip this check
 */
 auto probeEndpoint (ConnectionPool& pool,
                     tcp::endpoint endpoint,
--- a/modules/snowrudder_net/client/SignedRequest.h
+++ b/modules/snowrudder_net/client/SignedRequest.h
@@ -9,21 +9,24 @@
 namespace snowrudder
 {
 
-/** Set on what one node asks of another; see signMessage(). */
+/** The header that carries the signature of a request from one node to another; see signMessage(). */
 inline constexpr auto nodeHeader = std::string_view ("Snowrudder-Node");
 
-/** Where nodes compare and hand on the operators' tree, and tell their state. */
+/** Paths at which nodes compare and exchange the tree of the operators' settings, and report their status. */
 inline constexpr auto treeTarget = std::string_view ("/internal/tree");
 inline constexpr auto statusTarget = std::string_view ("/internal/status");
 
-/** Signs a request to another node. Method, target, the caller's key and the body are covered.
+/** Signs a request to another node. The signature covers the method, the target, the `Authorization` and
+    `Idempotency-Key` headers and the body.
 
-    @param secret  the fleet's
-    @param name    of the signing node
+    @param secret  the secret that the nodes of the fleet share
+    @param name    the name of the signing node
 */
 auto signRequest (std::string_view secret, std::string_view name, HttpRequest& request) -> void;
 
-/** @returns the node that signed a request not long ago, or nothing. */
+/** @returns the name of the node that signed a request, or nothing when the signature is missing, invalid or more than
+    30 s off the wall time.
+*/
 auto verifiedSigner (std::string_view secret, const HttpRequest& request) -> std::optional<std::string>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/client/SimpleCall.h
+++ b/modules/snowrudder_net/client/SimpleCall.h
@@ -7,11 +7,11 @@
 namespace snowrudder
 {
 
-/** A whole answer, or why there is none. */
+/** A whole response, or the error that prevented it. */
 struct SimpleResponse
 {
     std::error_code error;
-    /** How far the call came; tells whether it may have taken effect. */
+    /** The call's progress, which determines whether the call may have taken effect. */
     CallStage stage = CallStage::notSent;
     unsigned status = 0;
     std::string body;
@@ -19,9 +19,9 @@
     [[nodiscard]] auto hasSucceeded() const -> bool { return ! error && status >= 200 && status < 300; }
 };
 
-/** Makes one call and reads its whole answer.
+/** Makes one call and reads the whole response.
 
-    @param limit  the longest body taken
+    @param limit  the maximum size of the response body, in bytes
 */
 auto callOnce (ConnectionPool& pool,
                tcp::endpoint endpoint,
@@ -29,7 +29,7 @@
                CallTimeouts timeouts,
                std::size_t limit = 8 * 1024 * 1024) -> Task<SimpleResponse>;
 
-/** @returns a request with a body, ready to send. */
+/** @returns a request that is ready to send. A body is sent as `application/json`. */
 auto makeRequest (http::verb method, std::string_view target, std::string body = {}) -> HttpRequest;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/client/UpstreamCall.cpp
+++ b/modules/snowrudder_net/client/UpstreamCall.cpp
@@ -13,11 +13,13 @@
 
 constexpr auto maxHeaderBytes = std::uint32_t { 64 * 1024 };
 
-/** Where an upstream says nothing of its keep-alive time, idle connections are closed early. */
+/** The maximum idle time, also where an upstream doesn't state its keep-alive timeout. Short, so that the upstream is
+    unlikely to close the connection first.
+*/
 constexpr auto defaultMaxIdleTime = Duration (10s);
 
-/** @returns how long a connection may rest: four fifths of the upstream's `Keep-Alive: timeout=N` (RFC 2068, 19.7.1),
-    so that it is not closed while a request is on its way.
+/** @returns how long a connection may be idle: four fifths of the upstream's `Keep-Alive: timeout=N` (RFC 2068,
+    19.7.1), so that the upstream doesn't close it while a request is in transit.
 */
 auto maxIdleTimeFrom (std::string_view header) -> Duration
 {
@@ -156,7 +158,7 @@
 {
     auto& buffer = connection->buffer;
 
-    // One read of the parser takes one chunk; chunks that came together are taken together.
+    // One read consumes one chunk only. Parse the further chunks that have been received with it.
     while (! error && ! parser->is_done() && buffer.size() > 0 && parser->get().body().size > 0)
     {
         buffer.consume (parser->put (buffer.data(), error));
--- a/modules/snowrudder_net/client/UpstreamCall.h
+++ b/modules/snowrudder_net/client/UpstreamCall.h
@@ -11,17 +11,19 @@
 namespace snowrudder
 {
 
-/** Waits that a call keeps. */
+/** Time limits of a call. */
 struct CallTimeouts
 {
     Duration connect = 1s;
     Duration firstByte = 60s;
     Duration idle = 30s;
-    /** When the whole call must be over, whatever the waits above leave. */
+    /** Deadline of the whole call, which shortens the limits above. */
     TimePoint end = TimePoint::max();
 };
 
-/** One call to one upstream, step by step. Dropping it closes its connection, unless the answer was read whole. */
+/** One call to an upstream, made step by step. The destructor returns the connection to the pool when the whole
+    response was read and the upstream keeps the connection open, and closes it otherwise.
+*/
 class UpstreamCall
 {
 public:
@@ -37,34 +39,38 @@
     UpstreamCall (const UpstreamCall&) = delete;
     auto operator= (const UpstreamCall&) -> UpstreamCall& = delete;
 
-    /** Connects, unless an idle connection is at hand.
+    /** Takes an idle connection from the pool, or connects.
 
-        @param mayReuse  false for calls that may not repeat: a reused connection can die unseen under the request
+        @param mayReuse  false for calls that must not be repeated: the upstream may close a reused connection while the
+                         request is in transit, which leaves open whether it ran
     */
     auto connect (bool mayReuse) -> Task<std::error_code>;
 
-    /** Sends a request. */
+    /** Sends a request, header and body. */
     auto send (const HttpRequest& request) -> Task<std::error_code>;
 
-    /** Reads the answer's header. */
+    /** Reads the response header. Skips interim (1xx) responses. */
     auto readHeader() -> Task<std::error_code>;
 
-    /** Sends a request and reads its answer's header. */
+    /** Sends a request and reads the response header. */
     auto sendAndReadHeader (const HttpRequest& request) -> Task<std::error_code>;
 
-    /** Reads some of the answer's body: what is there, at least a byte, or nothing at its end.
+    /** Reads the next available part of the response body: at least one byte, or none at the end of the body.
 
-        @param bytes  replaced
+        @param bytes  is replaced by the part
     */
     auto readSome (std::string& bytes) -> Task<std::error_code>;
 
-    /** Reads the rest of the body, up to a limit.
+    /** Appends the rest of the response body.
 
-        @returns bodyTooLarge when there is more
+        @param limit  the maximum size of `body`, in bytes
+        @returns      ErrorKind::bodyTooLarge when the limit is exceeded
     */
     auto readRest (std::string& body, std::size_t limit) -> Task<std::error_code>;
 
-    /** Ends the call from outside: the step in progress fails. Call on the call's event loop. */
+    /** Cancels the call: the step in progress fails, and so do connect() and send() afterwards. Must be called on the
+        call's event loop.
+    */
     auto cancel() -> void;
 
     [[nodiscard]] auto stage() const -> CallStage { return currentStage; }
@@ -72,39 +78,42 @@
     [[nodiscard]] auto status() const -> unsigned { return parser->get().result_int(); }
     [[nodiscard]] auto isDone() const -> bool { return currentStage == CallStage::finished; }
 
-    /** @returns whether the whole answer is here and is a success. */
+    /** @returns whether the whole response has been received, with a 2xx status. */
     [[nodiscard]] auto hasSucceeded() const -> bool
     {
         return isDone() && http::to_status_class (status()) == http::status_class::successful;
     }
 
-    /** @returns the body's length when the header states it. */
+    /** @returns the length of the body if the response header states it. */
     [[nodiscard]] auto contentLength() const -> std::optional<std::uint64_t>;
 
-    /** Closes the connection at the call's end: what came on it can't be trusted. */
+    /** Closes the connection at the end of the call, as the bytes received on it can't be trusted. */
     auto preventReuse() -> void { reusable = false; }
 
-    /** Tells the parser that the request was HEAD, whose answer has no body. */
+    /** Expects a response without a body, as the request is a HEAD request. */
     auto expectNoBody() -> void { isHeadRequest = true; }
 
 private:
-    /** Bytes of body taken at a time: a compromise between large bodies and thousands of open streams. */
+    /** Bytes of the body read at a time: a compromise between the throughput of large bodies and the memory of
+        thousands of open streams.
+    */
     static constexpr auto bodyBufferBytes = std::size_t { 4096 };
 
     using Parser = http::response_parser<http::buffer_body>;
 
     auto finish() -> void;
 
-    /** Parses what has been read already, without waiting.
+    /** Parses the bytes that have been read already, without waiting.
 
-        @param error  of the read before
+        @param error  the result of the preceding read
     */
     auto parseBuffered (boost::system::error_code error) -> boost::system::error_code;
 
-    /** Bounds the step that begins now: its own wait, or what is left of the whole call. */
+    /** Limits the step that begins now to its own timeout or to the time left of the whole call, whichever is shorter.
+    */
     auto startDeadline (Duration wait) -> void;
 
-    /** @returns an error as the caller is told: a cancelled operation whose time ran out has timed out. */
+    /** @returns the error to report: timed_out for an operation that the deadline has cancelled. */
     [[nodiscard]] auto callerError (boost::system::error_code error) const -> std::error_code;
 
     ConnectionPool& pool;
@@ -115,7 +124,7 @@
     std::array<char, bodyBufferBytes> bodyBuffer;
     CallStage currentStage = CallStage::notSent;
     bool isHeadRequest = false;
-    /** Whether the answer was read whole and the connection may serve another call. */
+    /** Whether the whole response was read and the connection may be used for another call. */
     bool reusable = false;
     bool cancelled = false;
 };
--- a/modules/snowrudder_net/concurrency/AsioNames.h
+++ b/modules/snowrudder_net/concurrency/AsioNames.h
@@ -18,25 +18,27 @@
 template <typename Value>
 using Task = asio::awaitable<Value>;
 
-/** Makes an operation give its error as a value, never as an exception. */
+/** Completion token by which a coroutine receives the error of an operation as a value, not as an exception. */
 inline constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
 
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-/** @returns a view over a Boost string view; the two types do not convert by themselves. */
+/** @returns a Boost string view as a standard one; the two types don't convert implicitly. */
 inline auto toView (beast::string_view text) -> std::string_view
 {
     return { text.data(), text.size() };
 }
 
-/** @returns a standard string view as Boost's. */
+/** @returns a standard string view as a Boost one. */
 inline auto toBeast (std::string_view text) -> beast::string_view
 {
     return { text.data(), text.size() };
 }
 
-/** @returns the endpoint of IP-NUMBER:PORT text that the settings reader found valid. */
+/** @returns the endpoint for IP-NUMBER:PORT text that the settings reader has validated, or an empty endpoint when the
+    address can't be parsed.
+*/
 auto parseEndpoint (std::string_view text) -> tcp::endpoint;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/EventLoop.h
+++ b/modules/snowrudder_net/concurrency/EventLoop.h
@@ -7,15 +7,18 @@
 namespace snowrudder
 {
 
-/** An event loop whose waiting coroutines can be ended while what they refer to is still there. An io_context ends them only in
-    its destructor: those that still wait then use freed memory, and a process that should stop crashes or spins.
+/** An event loop whose waiting coroutines can be destroyed while the objects that they refer to still exist. An
+    io_context destroys them in its destructor only: the coroutines that still wait then use freed memory, and a
+    stopping process crashes or spins.
 */
 class EventLoop : public boost::asio::io_context
 {
 public:
     using boost::asio::io_context::io_context;
 
-    /** Ends all coroutines that wait in the loop. To be called after run() has returned; nothing runs in it afterwards. */
+    /** Destroys all coroutines that wait in the loop. Call after run() has returned; the loop can't run anything
+        afterwards.
+    */
     auto destroyWaitingCoroutines() -> void { shutdown(); }
 };
 
--- a/modules/snowrudder_net/concurrency/Pause.h
+++ b/modules/snowrudder_net/concurrency/Pause.h
@@ -7,7 +7,7 @@
 namespace snowrudder
 {
 
-/** Waits on an event loop. */
+/** Suspends the calling coroutine for a duration. */
 inline auto pauseFor (asio::io_context& loop, Duration time) -> Task<void>
 {
     asio::steady_timer timer (loop, time);
--- a/modules/snowrudder_net/concurrency/RunAll.h
+++ b/modules/snowrudder_net/concurrency/RunAll.h
@@ -8,10 +8,10 @@
 namespace snowrudder
 {
 
-/** Runs tasks side by side on one event loop and waits until all have ended. Call on that loop.
+/** Runs tasks concurrently on one event loop and waits until all have ended. Must be called on that loop.
 
-    @param count     of the tasks
-    @param makeTask  makes the task of an index
+    @param count     the number of tasks
+    @param makeTask  called with each index, returns the task to run
 */
 template <typename MakeTask>
 auto runAll (asio::io_context& loop, std::size_t count, MakeTask makeTask) -> Task<void>
@@ -35,7 +35,7 @@
                                 pending->timer.cancel();
                         });
 
-    // Tasks end on this loop only, so none can end between the question and the wait.
+    // Tasks end on this loop only, so none can end between this check and the wait.
     if (pending->remaining > 0)
         co_await pending->timer.async_wait (asTuple);
 }
--- a/modules/snowrudder_net/concurrency/Signal.h
+++ b/modules/snowrudder_net/concurrency/Signal.h
@@ -10,8 +10,8 @@
 namespace snowrudder
 {
 
-/** Wakes one coroutine. Any thread may notify; only the owner's thread may wait. A notification before the wait
-    is not lost: the next wait returns at once.
+/** An event that wakes one coroutine. Any thread may notify; only the owner's thread may wait. A notification that
+    precedes the wait is kept: the next wait returns immediately.
 */
 class Signal : public std::enable_shared_from_this<Signal>
 {
@@ -23,7 +23,7 @@
 
     /** Waits for a notification or until a point in time.
 
-        @returns true when notified, false when the time came first
+        @returns true when notified, false on timeout
     */
     auto wait (TimePoint until) -> Task<bool>
     {
@@ -32,7 +32,7 @@
             timer.expires_at (until);
             waiting = true;
 
-            // A notification between the two lines above would find nobody to wake.
+            // A notification between the two statements above sees no waiting coroutine and doesn't cancel the timer.
             if (! notified.load())
                 co_await timer.async_wait (asTuple);
 
@@ -43,7 +43,7 @@
         co_return true;
     }
 
-    /** Ends the wait, or the next one. */
+    /** Ends the current wait, or the next one if there is none. */
     auto notify() -> void
     {
         if (notified.exchange (true) || ! waiting)
--- a/modules/snowrudder_net/concurrency/Watchdog.cpp
+++ b/modules/snowrudder_net/concurrency/Watchdog.cpp
@@ -42,7 +42,7 @@
         entry.socket->cancel (ignored);
     }
 
-    // With nothing to watch the timer rests, and a loop without other work can end.
+    // Without deadlines the timer isn't restarted, so that an event loop without other work can return.
     if (hasDeadline)
         startTimer();
 }
--- a/modules/snowrudder_net/concurrency/Watchdog.h
+++ b/modules/snowrudder_net/concurrency/Watchdog.h
@@ -11,11 +11,12 @@
 namespace snowrudder
 {
 
-/** Ends reads and writes that take too long, for all sockets of one event loop. A deadline is a plain number that one
-    timer looks over: setting one costs next to nothing, where a timer for each operation costs more than the
-    operation's own bookkeeping (docs/design/router-cost.md). A deadline is kept to within two intervals.
+/** Cancels reads and writes that exceed their deadline, for all sockets of one event loop. One periodic timer checks
+    all deadlines, so setting one only stores a point in time, whereas a timer per operation costs more than the
+    operation's own bookkeeping (docs/design/router-cost.md). Operations are cancelled at most two intervals after
+    their deadline.
 
-    Belongs to its loop's thread.
+    Used on the loop's thread only.
 */
 class Watchdog
 {
@@ -29,7 +30,7 @@
     class Watch;
 
 private:
-    /** One watched socket. */
+    /** A watched socket and its deadline. */
     struct Entry
     {
         tcp::socket* socket = nullptr;
@@ -37,7 +38,7 @@
         bool expired = false;
     };
 
-    /** All watched sockets, and the timer that runs while one of them has a deadline. */
+    /** All watched sockets, and the timer that runs while any of them has a deadline. */
     struct Entries : std::enable_shared_from_this<Entries>
     {
         explicit Entries (const asio::any_io_executor& executor) : timer (executor) {}
@@ -53,7 +54,7 @@
     std::shared_ptr<Entries> entries;
 };
 
-/** Watches one socket for as long as it lives. */
+/** Watches one socket for the lifetime of this object. */
 class Watchdog::Watch
 {
 public:
@@ -68,7 +69,7 @@
     Watch (const Watch&) = delete;
     auto operator= (const Watch&) -> Watch& = delete;
 
-    /** Sets the time that the next operations may take, all together. */
+    /** Sets the time limit for the operations that follow, in total. */
     auto start (Duration time) -> void
     {
         position->deadline = SteadyClock::now() + time;
@@ -76,10 +77,10 @@
         entries->startTimer();
     }
 
-    /** Lets operations take any time. */
+    /** Removes the time limit. */
     auto stop() -> void { position->deadline.reset(); }
 
-    /** @returns whether the time ran out: the operation in progress was cancelled. */
+    /** @returns whether the deadline has expired, which cancels the operation in progress. */
     [[nodiscard]] auto hasExpired() const -> bool { return position->expired; }
 
 private:
--- a/modules/snowrudder_net/concurrency/WorkerPool.cpp
+++ b/modules/snowrudder_net/concurrency/WorkerPool.cpp
@@ -43,7 +43,8 @@
 
 auto WorkerPool::destroyWaitingCoroutines() -> void
 {
-    // What ends in one loop may wake what waits in another: the second round takes what the first has left there.
+    // Destroying a coroutine in one loop may post work to another loop that has been cleared already; the second round
+    // clears that.
     constexpr auto rounds = 2;
 
     for (auto round = 0; round < rounds; ++round)
--- a/modules/snowrudder_net/concurrency/WorkerPool.h
+++ b/modules/snowrudder_net/concurrency/WorkerPool.h
@@ -12,8 +12,8 @@
 namespace snowrudder
 {
 
-/** Threads with one event loop each. What runs on one loop needs no lock against itself; what several loops share
-    lives in tables with locks of their own (docs/ARCHITECTURE.md gives the lock order).
+/** Threads with one event loop each. State that is used on one loop only needs no lock; state that several loops share
+    is in tables with their own locks (see docs/ARCHITECTURE.md for the lock order).
 */
 class WorkerPool
 {
@@ -27,17 +27,17 @@
     [[nodiscard]] auto size() const -> std::size_t { return loops.size(); }
     [[nodiscard]] auto loop (std::size_t index) -> asio::io_context& { return loops[index]; }
 
-    /** Starts the threads. */
+    /** Starts one thread per event loop. */
     auto start() -> void;
 
-    /** Runs until stop() is called, then joins the threads. */
+    /** Blocks until the loops have been stopped by stop(), and joins the threads. */
     auto join() -> void;
 
-    /** Ends every loop. Any thread may call it. */
+    /** Stops all loops. Any thread may call this. */
     auto stop() -> void;
 
-    /** Ends what still waits in the loops, while all loops and all that it refers to are there. To be called once the threads
-        have been joined and before anything that coroutines use is destroyed.
+    /** Destroys the coroutines that still wait in the loops, while all loops and the objects that they refer to still
+        exist. Call after the threads have been joined and before anything that the coroutines use is destroyed.
     */
     auto destroyWaitingCoroutines() -> void;
 
--- a/modules/snowrudder_net/server/EndToEndHeaders.h
+++ b/modules/snowrudder_net/server/EndToEndHeaders.h
@@ -7,15 +7,15 @@
 namespace snowrudder
 {
 
-/** @returns whether a header belongs to one connection only (RFC 9110, section 7.6.1).
+/** @returns whether a header applies to a single connection and must not be forwarded (RFC 9110, section 7.6.1).
 
-    @param connection  the message's own `Connection` header, which may name more
+    @param connection  the message's `Connection` header, which may name further hop-by-hop headers
 */
 auto isHopByHop (std::string_view name, std::string_view connection) -> bool;
 
-/** Adds the headers that go from end to end, in their order, less the body's length, which the sender states anew.
+/** Copies the end-to-end headers in their order. `Content-Length` is left out, as the sender sets it again.
 
-    @param skip  called with each name; true leaves the header out
+    @param skip  called with each header's name; returns true to leave the header out
 */
 template <typename Skip>
 auto copyEndToEndHeaders (const http::fields& from, http::fields& to, Skip&& skip) -> void
--- a/modules/snowrudder_net/server/Exchange.cpp
+++ b/modules/snowrudder_net/server/Exchange.cpp
@@ -10,7 +10,9 @@
 
 constexpr auto serverName = std::string_view ("snowrudder");
 
-/** Waits for the socket to become readable, which for a caller that awaits its answer means that it went. */
+/** Waits for the socket to become readable. For a caller that waits for its response, this means that it has
+    disconnected, unless it has pipelined another request.
+*/
 template <typename Watch>
 auto watchSocket (tcp::socket& socket, std::shared_ptr<Watch> watch, std::function<void()> onDisconnect)
     -> Task<void>
@@ -66,7 +68,7 @@
 
 auto Exchange::respond (HttpResponse response) -> Task<std::error_code>
 {
-    requireInvariant (! begun, "a caller gets one answer");
+    requireInvariant (! begun, "a request gets one response");
     begun = true;
 
     const auto keepAlive = received.keep_alive() && ! closesAfterResponse;
@@ -110,10 +112,10 @@
 
 auto Exchange::beginStream (http::response<http::empty_body> header) -> Task<std::error_code>
 {
-    requireInvariant (! begun, "a caller gets one answer");
+    requireInvariant (! begun, "a request gets one response");
     begun = true;
 
-    // A caller of HTTP/1.0 knows no chunks: its body ends with the connection.
+    // HTTP/1.0 has no chunked encoding: the end of the connection marks the end of the body.
     chunked = received.version() >= 11 && ! header.has_content_length();
 
     if (received.version() < 11)
@@ -152,7 +154,7 @@
 
 auto Exchange::endStream() -> Task<std::error_code>
 {
-    requireInvariant (begun && ! ended, "a streamed answer ends once");
+    requireInvariant (begun && ! ended, "a streamed response ends once");
 
     if (! chunked)
     {
--- a/modules/snowrudder_net/server/Exchange.h
+++ b/modules/snowrudder_net/server/Exchange.h
@@ -14,21 +14,22 @@
 namespace snowrudder
 {
 
-/** Bounds on one server's connections. */
+/** Limits for the connections of a server. */
 struct ServerLimits
 {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint32_t bodyBytes = 8 * 1024 * 1024;
-    /** For a kept connection that rests between requests. */
+    /** For a keep-alive connection that is idle between requests. */
     Duration idleTimeout = 30s;
-    /** From a header's first byte to its last. */
+    /** From the first byte of a header to its last. */
     Duration headerTimeout = 30s;
     Duration bodyTimeout = 30s;
     /** For one write to a caller that reads slowly. */
     Duration writeTimeout = 30s;
 };
 
-/** One request on one connection, and the means to answer it: once as a whole, or in pieces. */
+/** One request on one connection, and the functions that respond to it, once: with a whole response or a streamed one.
+*/
 class Exchange
 {
 public:
@@ -44,32 +45,32 @@
     [[nodiscard]] auto request() const -> const HttpRequest& { return received; }
     [[nodiscard]] auto request() -> HttpRequest& { return received; }
 
-    /** @returns a header's value, or an empty text. */
+    /** @returns the value of a request header, or an empty string. */
     [[nodiscard]] auto header (std::string_view name) const -> std::string_view
     {
         return toView (received[toBeast (name)]);
     }
 
-    /** @returns the target up to its '?'. */
+    /** @returns the request target up to its '?'. */
     [[nodiscard]] auto path() const -> std::string_view;
 
-    /** @returns a query parameter's value as written, or an empty text. */
+    /** @returns the value of a query parameter, not decoded, or an empty string. */
     [[nodiscard]] auto query (std::string_view name) const -> std::string_view;
 
-    /** Sends a whole answer. `Content-Length` and `Connection` are filled in. */
+    /** Sends a whole response. Sets `Server`, `Connection` and, where a body is allowed, `Content-Length`. */
     auto respond (HttpResponse response) -> Task<std::error_code>;
 
-    /** Sends a whole answer with a body of a type. */
+    /** Sends a whole response with a body of the given content type. */
     auto respond (http::status status, std::string_view contentType, std::string body)
         -> Task<std::error_code>;
 
-    /** Starts an answer whose body follows in pieces. */
+    /** Sends the header of a response whose body follows by writeBodyPart(). */
     auto beginStream (http::response<http::empty_body> header) -> Task<std::error_code>;
 
-    /** Sends a piece of the body. It ends when the caller's socket took the bytes: back pressure. */
+    /** Sends a part of the body. Completes when the socket has accepted the bytes, which applies back pressure. */
     auto writeBodyPart (std::string_view data) -> Task<std::error_code>;
 
-    /** Ends the body. */
+    /** Ends the body of a streamed response. */
     auto endStream() -> Task<std::error_code>;
 
     [[nodiscard]] auto hasBegun() const -> bool { return begun; }
@@ -81,12 +82,12 @@
         return ended && ! closesAfterResponse && received.keep_alive();
     }
 
-    /** Closes the connection after this answer. */
+    /** Closes the connection after this response. */
     auto closeAfterResponse() -> void { closesAfterResponse = true; }
 
-    /** Watches the connection while an answer is being made.
+    /** Watches the connection for a disconnect while the response is being prepared.
 
-        @param onDisconnect  called on the event loop once the caller has gone; never after stopWatching()
+        @param onDisconnect  called on the event loop when the caller has disconnected; never after stopWatching()
     */
     auto watchCaller (std::function<void()> onDisconnect) -> void;
     auto stopWatching() -> void;
@@ -112,7 +113,7 @@
     std::shared_ptr<Watch> watch;
 };
 
-/** @returns the key of `Authorization: Bearer KEY`, or an empty text. */
+/** @returns the key from `Authorization: Bearer KEY`, or an empty string. */
 auto bearerKey (const Exchange& exchange) -> std::string_view;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/server/HttpServer.cpp
+++ b/modules/snowrudder_net/server/HttpServer.cpp
@@ -10,7 +10,7 @@
 
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-/** Why a request could not be read, or nothing when the connection just ended. */
+/** @returns why a request could not be read, or nothing when the connection was closed. */
 auto errorKindOf (boost::system::error_code error) -> std::optional<ErrorKind>
 {
     if (error == http::error::end_of_stream || error == asio::error::connection_reset ||
@@ -74,7 +74,7 @@
 
     draining = true;
 
-    // Closing a socket resets the connections that wait in its queue, so they are taken first.
+    // Closing the listening socket resets the connections in its queue, so they are accepted first.
     boost::system::error_code error;
     acceptor.non_blocking (true, error);
 
@@ -111,7 +111,7 @@
 
         if (error)
         {
-            // Out of descriptors: wait for some to be closed rather than spin.
+            // Most likely out of file descriptors: wait for some to be closed instead of spinning.
             asio::steady_timer pause (loop, 10ms);
             co_await pause.async_wait (asTuple);
             continue;
@@ -191,7 +191,8 @@
 
     if (headerError)
     {
-        // A quiet connection just ends; a half-sent header is told.
+        // On timeout, a connection without any byte of a request is closed silently; an incomplete header gets an
+        // error.
         if (deadline.hasExpired() && parser.got_some())
             co_return ErrorKind::callerTimeout;
 
@@ -228,7 +229,7 @@
     deadline.start (limits.writeTimeout);
     co_await http::async_write (stream, response, asTuple);
 
-    // The caller may still be sending: closing at once would reset the connection before it has read the answer.
+    // The caller may still be sending: closing now would reset the connection before it has read the response.
     boost::system::error_code ignored;
     stream.shutdown (tcp::socket::shutdown_send, ignored);
     deadline.start (1s);
--- a/modules/snowrudder_net/server/HttpServer.h
+++ b/modules/snowrudder_net/server/HttpServer.h
@@ -11,14 +11,14 @@
 namespace snowrudder
 {
 
-/** Answers one request. When it returns without an answer having begun, the connection is closed. */
+/** Responds to one request. If it returns without having begun a response, the connection is closed. */
 using ExchangeHandler = std::function<auto(Exchange&)->Task<void>>;
 
-/** Answers what never became a request: bad, late or oversized headers and bodies. */
+/** Makes the response to input that is not a valid request: malformed, late or oversized headers and bodies. */
 using RejectionHandler = std::function<auto(ErrorKind)->HttpResponse>;
 
-/** Accepts connections on one event loop and hands each request to the handler. Several servers, one a loop, may
-    listen on the same address: the kernel spreads connections over them.
+/** Accepts connections on one event loop and passes each request to the handler. Several servers, one per loop, may
+    listen on the same address: the kernel distributes the connections among them (SO_REUSEPORT).
 */
 class HttpServer : public std::enable_shared_from_this<HttpServer>
 {
@@ -28,28 +28,28 @@
                 ExchangeHandler exchangeHandler,
                 RejectionHandler rejectionHandler);
 
-    /** Starts accepting.
+    /** Starts accepting connections.
 
-        @returns an error when the address can't be listened on
+        @returns an error when listening on the address fails
     */
     auto listen (const tcp::endpoint& endpoint) -> std::error_code;
 
-    /** @returns the address listened on, its port filled in. */
+    /** @returns the address that the server listens on, with the port that the system has assigned. */
     [[nodiscard]] auto localEndpoint() const -> tcp::endpoint;
 
-    /** Ends accepting once what already waits in the listen queue has been taken. Connections that rest between requests
-        are closed, the others after the answer that they are making. Call on the event loop.
+    /** Stops accepting connections, after accepting those that are in the listen queue already. Closes idle
+        connections now and the others after their current response. Must be called on the event loop.
     */
     auto drain() -> void;
 
-    /** Puts other bounds in force for requests that are read from now on. Call on the event loop. */
+    /** Replaces the limits for requests that are read from now on. Must be called on the event loop. */
     auto setLimits (const ServerLimits& changed) -> void { limits = changed; }
 
-    /** @returns connections whose request is being answered. */
+    /** @returns the number of connections with a request in progress. */
     [[nodiscard]] auto busyConnections() const -> std::size_t { return busy.load(); }
 
 private:
-    /** The connection ended, and nobody is there to be told. */
+    /** The connection is closed; no response can be sent. */
     struct ConnectionClosed
     {
     };
@@ -69,7 +69,7 @@
     RejectionHandler rejection;
     tcp::acceptor acceptor;
     Watchdog watchdog;
-    /** Connections that rest between requests. */
+    /** Connections that wait for their next request. */
     std::set<tcp::socket*> idleConnections;
     bool draining = false;
     std::atomic<std::size_t> busy { 0 };
--- a/modules/snowrudder_net/server/ProblemResponse.cpp
+++ b/modules/snowrudder_net/server/ProblemResponse.cpp
@@ -14,7 +14,7 @@
     if (! requestId.empty())
         response.set ("Snowrudder-Request-Id", toBeast (requestId));
 
-    // Whole seconds are what every caller of HTTP understands.
+    // HTTP defines Retry-After in whole seconds.
     if (problem.retryAfter)
     {
         const auto seconds = std::max (1s, std::chrono::ceil<std::chrono::seconds> (*problem.retryAfter));
--- a/modules/snowrudder_net/server/ProblemResponse.h
+++ b/modules/snowrudder_net/server/ProblemResponse.h
@@ -9,10 +9,10 @@
 namespace snowrudder
 {
 
-/** @returns a problem as `application/problem+json`.
+/** @returns the response for a problem, as `application/problem+json`.
 
-    @param requestId  empty where there is none
-    @param extra      members beside the usual ones
+    @param requestId  the request's identifier, empty if it has none
+    @param extra      members that are added to the body; they replace standard members of the same name
 */
 auto problemResponse (const Problem& problem,
                       std::string_view requestId,
--- a/modules/snowrudder_net/server/RunServer.h
+++ b/modules/snowrudder_net/server/RunServer.h
@@ -8,14 +8,14 @@
 namespace snowrudder
 {
 
-/** Runs a server on one event loop until SIGTERM or SIGINT, and ends what then still waits in it.
+/** Runs a server on one event loop until SIGTERM or SIGINT, then destroys the coroutines that still wait in the loop.
 
-    @param loop     the loop that the handler's own work runs on
-    @param listen   IP-NUMBER:PORT
-    @param program  named in messages
-    @param limits   of its connections
-    @param handler  answers each request
-    @returns        the process's exit code
+    @param loop     the event loop, which may also run other work of the handler
+    @param listen   the address to listen on, as IP-NUMBER:PORT
+    @param program  the program's name, for error messages
+    @param limits   limits for the server's connections
+    @param handler  responds to each request
+    @returns        the exit code for the process
 */
 auto runServer (EventLoop& loop,
                 const std::string& listen,
--- a/modules/snowrudder_net/snowrudder_net.h
+++ b/modules/snowrudder_net/snowrudder_net.h
@@ -1,9 +1,9 @@
 /** @file
     snowrudder_net: HTTP/1.1 as server and client on Boost.Asio coroutines.
 
-    - concurrency/  the worker threads, and a signal that a coroutine can wait for
-    - server/       accepting connections and answering requests, whole or streamed; problems as answers
-    - client/       calls to upstreams in steps, so that a failure tells how far a call came; calls signed among nodes
+    - concurrency/  event loops and worker threads, deadlines of socket operations, a signal that wakes a coroutine
+    - server/       accepting connections and responding to requests, whole or streamed; problems as responses
+    - client/       calls to upstreams in steps, so that a failed call's progress is known; signed calls between nodes
     - stream/       server-sent events
 
     Every operation that can fail returns a std::error_code. Depends on: snowrudder_core, Boost (Asio, Beast).
--- a/modules/snowrudder_net/stream/EventReader.h
+++ b/modules/snowrudder_net/stream/EventReader.h
@@ -7,21 +7,21 @@
 namespace snowrudder
 {
 
-/** Cuts a byte stream into server-sent events (WHATWG HTML, section 9.2). Only `data` is kept; lines may end with
-    LF or CRLF.
+/** Parses a byte stream into server-sent events (WHATWG HTML, section 9.2). Only `data` fields are kept; lines may end
+    with LF or CRLF.
 */
 class EventReader
 {
 public:
-    /** Adds bytes as they came. */
+    /** Appends bytes received from the stream, split at any position. */
     auto add (std::string_view bytes) -> void;
 
-    /** @returns the next whole event's data, empty when more bytes are needed. The view holds until the next call
-        of add() or next().
+    /** @returns the data of the next complete event, or nothing when more bytes are needed. The view is valid until
+        the next call of add() or next().
     */
     auto next() -> std::optional<std::string_view>;
 
-    /** @returns the bytes that are not yet a whole event. */
+    /** @returns the number of bytes that have not been parsed yet. */
     [[nodiscard]] auto pendingBytes() const -> std::size_t { return buffer.size() - position; }
 
 private:
--- a/tests/unit/NetTests.cpp
+++ b/tests/unit/NetTests.cpp
@@ -7,7 +7,7 @@
 
 using namespace snowrudder;
 
-TEST_CASE ("events are cut out of a stream however it is split")
+TEST_CASE ("events are parsed from a stream however it is split")
 {
     const auto text =
         std::string ("id: 1\r\ndata: one\r\n\r\n: comment\n\ndata: two\ndata: lines\n\ndata:three\n\n");
@@ -29,7 +29,7 @@
     }
 }
 
-TEST_CASE ("no more idle connections to an address are kept than the pool is told to")
+TEST_CASE ("the pool keeps at most the configured number of idle connections per address")
 {
     asio::io_context loop (1);
     tcp::acceptor acceptor (loop, tcp::endpoint (asio::ip::address_v4::loopback(), 0));
@@ -53,7 +53,7 @@
     CHECK (pool.acquireIdle (address, now) == nullptr);
 }
 
-TEST_CASE ("hop-by-hop headers are told from the others")
+TEST_CASE ("hop-by-hop headers are distinguished from end-to-end headers")
 {
     CHECK (isHopByHop ("Transfer-Encoding", ""));
     CHECK (isHopByHop ("X-Named", "close, x-named"));
@@ -61,7 +61,7 @@
     CHECK_FALSE (isHopByHop ("Content-Type", ""));
 }
 
-TEST_CASE ("an engine's chunks are read, and nonsense is told")
+TEST_CASE ("an engine's chunks are parsed, and malformed ones are rejected")
 {
     const auto event = parseChatEvent (R"({"choices":[{"delta":{"content":"x"},"finish_reason":"stop"}],
         "usage":{"prompt_tokens":7,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":5}}})");
@@ -79,7 +79,7 @@
         CHECK_FALSE (parseChatEvent (text).has_value());
 }
 
-TEST_CASE ("tool calls are joined over chunks")
+TEST_CASE ("tool calls are merged across chunks")
 {
     boost::json::array calls;
     mergeToolCalls (
@@ -91,7 +91,7 @@
     CHECK (calls[0].at ("id").as_string() == "a");
 }
 
-TEST_CASE ("a resumed request carries what was relayed")
+TEST_CASE ("a resumed request contains the text already relayed")
 {
     const auto parsed =
         parseChatRequest (R"({"model":"m","max_tokens":10,"messages":[{"role":"user","content":"q"}]})");
@@ -104,7 +104,7 @@
     CHECK (body.at ("cache_salt").as_string() == "salt");
 }
 
-TEST_CASE ("a VM list is read, and what makes no sense is counted")
+TEST_CASE ("a VM list is parsed, and invalid entries are counted")
 {
     auto skipped = std::size_t { 0 };
     const auto vms = parseVmList (R"({"vms":[
@@ -121,7 +121,7 @@
     CHECK_FALSE (parseVmList ("[]", skipped).has_value());
 }
 
-TEST_CASE ("signatures hold for one message, one secret and a short time")
+TEST_CASE ("a signature is valid for one message, one secret and a limited time")
 {
     const auto time = wallTimeNow();
     const auto signature = signMessage ("secret", "a", time, "message");
@@ -136,7 +136,7 @@
         CHECK_FALSE (checkSignature ("secret", text, "message", time, age).has_value());
 }
 
-TEST_CASE ("the fake engine caches prompts and goes on with an answer")
+TEST_CASE ("the fake engine caches prompts and continues an answer")
 {
     EngineLimits limits;
     limits.slots = 1;
