--- a/modules/snowrudder_admin/api/EditHandler.cpp
+++ b/modules/snowrudder_admin/api/EditHandler.cpp
@@ -50,7 +50,7 @@
 
     if (wanted.id.empty())
         wanted.id = toString (makeUuid (wallTimeNow()));
-    else if (! isName (wanted.id))
+    else if (! isValidName (wanted.id))
         return makeProblem (ErrorKind::invalidRequest,
                             std::string (editHeader) + " must be 1 to 63 of a-z, 0-9 and '-'");
 
--- a/modules/snowrudder_core/errors/ErrorKind.cpp
+++ b/modules/snowrudder_core/errors/ErrorKind.cpp
@@ -16,72 +16,74 @@
 constexpr auto noRetry = std::optional<seconds> {};
 
 // One row a kind, in the order of the enumeration.
-constexpr auto answers = std::array {
-    ErrorAnswer { ErrorKind::invalidRequest, "invalid_request", 400, Ran::no, noRetry,
-                  "The request is not well formed." },
-    ErrorAnswer { ErrorKind::unsupported, "unsupported", 400, Ran::no, noRetry,
-                  "The request asks for something that is not offered here." },
-    ErrorAnswer { ErrorKind::unauthorized, "unauthorized", 401, Ran::no, noRetry,
-                  "The key is missing or not known." },
-    ErrorAnswer { ErrorKind::forbidden, "forbidden", 403, Ran::no, noRetry,
-                  "The client account may not use this service." },
-    ErrorAnswer { ErrorKind::notFound, "not_found", 404, Ran::no, noRetry, "There is nothing at this path." },
-    ErrorAnswer { ErrorKind::unknownModel, "unknown_model", 404, Ran::no, noRetry,
-                  "No service offers this model." },
-    ErrorAnswer { ErrorKind::unknownRequest, "unknown_request", 404, Ran::unknown, noRetry,
-                  "No request of this client account has this identifier, or its answer is no longer kept." },
-    ErrorAnswer { ErrorKind::methodNotAllowed, "method_not_allowed", 405, Ran::no, noRetry,
-                  "The path does not take this method." },
-    ErrorAnswer { ErrorKind::callerTimeout, "caller_timeout", 408, Ran::no, seconds (1),
-                  "The request was not sent in time." },
-    ErrorAnswer { ErrorKind::headerTooLarge, "header_too_large", 431, Ran::no, noRetry,
-                  "The header is larger than allowed." },
-    ErrorAnswer { ErrorKind::bodyTooLarge, "body_too_large", 413, Ran::no, noRetry,
-                  "The body is larger than allowed." },
-    ErrorAnswer { ErrorKind::keyConflict, "key_conflict", 409, Ran::no, noRetry,
-                  "The idempotency key was used before with another request." },
-    ErrorAnswer { ErrorKind::rateLimited, "rate_limited", 429, Ran::no, seconds (1),
-                  "The client account is over its limit." },
-    ErrorAnswer { ErrorKind::overloaded, "overloaded", 503, Ran::no, seconds (1),
-                  "The queue is too long to serve the request in time." },
-    ErrorAnswer { ErrorKind::noReplica, "no_replica", 503, Ran::no, seconds (2),
-                  "No replica of the service can be reached." },
-    ErrorAnswer { ErrorKind::nodeLeaving, "node_leaving", 503, Ran::no, seconds (1),
-                  "This router is stopping; ask another one." },
-    ErrorAnswer { ErrorKind::upstreamRefused, "upstream_refused", 503, Ran::no, seconds (1),
-                  "Every upstream refused the request without running it." },
-    ErrorAnswer { ErrorKind::upstreamFailed, "upstream_failed", 502, Ran::unknown, noRetry,
-                  "The upstream was lost before its answer was whole." },
-    ErrorAnswer { ErrorKind::upstreamTimeout, "upstream_timeout", 504, Ran::unknown, noRetry,
-                  "The upstream did not answer in time." },
-    ErrorAnswer { ErrorKind::upstreamInvalid, "upstream_invalid", 502, Ran::unknown, noRetry,
-                  "The upstream's answer could not be understood." },
-    ErrorAnswer { ErrorKind::deadlineExceeded, "deadline_exceeded", 504, Ran::unknown, noRetry,
-                  "The request's time ran out." },
-    ErrorAnswer { ErrorKind::outcomeUnknown, "outcome_unknown", 409, Ran::unknown, noRetry,
-                  "A call with this idempotency key may have run; its answer is not known." },
-    ErrorAnswer {
+constexpr auto errorDescriptions = std::array {
+    ErrorDescription { ErrorKind::invalidRequest, "invalid_request", 400, Ran::no, noRetry,
+                       "The request is not well formed." },
+    ErrorDescription { ErrorKind::unsupported, "unsupported", 400, Ran::no, noRetry,
+                       "The request asks for something that is not offered here." },
+    ErrorDescription { ErrorKind::unauthorized, "unauthorized", 401, Ran::no, noRetry,
+                       "The key is missing or not known." },
+    ErrorDescription { ErrorKind::forbidden, "forbidden", 403, Ran::no, noRetry,
+                       "The client account may not use this service." },
+    ErrorDescription { ErrorKind::notFound, "not_found", 404, Ran::no, noRetry,
+                       "There is nothing at this path." },
+    ErrorDescription { ErrorKind::unknownModel, "unknown_model", 404, Ran::no, noRetry,
+                       "No service offers this model." },
+    ErrorDescription {
+        ErrorKind::unknownRequest, "unknown_request", 404, Ran::unknown, noRetry,
+        "No request of this client account has this identifier, or its answer is no longer kept." },
+    ErrorDescription { ErrorKind::methodNotAllowed, "method_not_allowed", 405, Ran::no, noRetry,
+                       "The path does not take this method." },
+    ErrorDescription { ErrorKind::callerTimeout, "caller_timeout", 408, Ran::no, seconds (1),
+                       "The request was not sent in time." },
+    ErrorDescription { ErrorKind::headerTooLarge, "header_too_large", 431, Ran::no, noRetry,
+                       "The header is larger than allowed." },
+    ErrorDescription { ErrorKind::bodyTooLarge, "body_too_large", 413, Ran::no, noRetry,
+                       "The body is larger than allowed." },
+    ErrorDescription { ErrorKind::keyConflict, "key_conflict", 409, Ran::no, noRetry,
+                       "The idempotency key was used before with another request." },
+    ErrorDescription { ErrorKind::rateLimited, "rate_limited", 429, Ran::no, seconds (1),
+                       "The client account is over its limit." },
+    ErrorDescription { ErrorKind::overloaded, "overloaded", 503, Ran::no, seconds (1),
+                       "The queue is too long to serve the request in time." },
+    ErrorDescription { ErrorKind::noReplica, "no_replica", 503, Ran::no, seconds (2),
+                       "No replica of the service can be reached." },
+    ErrorDescription { ErrorKind::nodeLeaving, "node_leaving", 503, Ran::no, seconds (1),
+                       "This router is stopping; ask another one." },
+    ErrorDescription { ErrorKind::upstreamRefused, "upstream_refused", 503, Ran::no, seconds (1),
+                       "Every upstream refused the request without running it." },
+    ErrorDescription { ErrorKind::upstreamFailed, "upstream_failed", 502, Ran::unknown, noRetry,
+                       "The upstream was lost before its answer was whole." },
+    ErrorDescription { ErrorKind::upstreamTimeout, "upstream_timeout", 504, Ran::unknown, noRetry,
+                       "The upstream did not answer in time." },
+    ErrorDescription { ErrorKind::upstreamInvalid, "upstream_invalid", 502, Ran::unknown, noRetry,
+                       "The upstream's answer could not be understood." },
+    ErrorDescription { ErrorKind::deadlineExceeded, "deadline_exceeded", 504, Ran::unknown, noRetry,
+                       "The request's time ran out." },
+    ErrorDescription { ErrorKind::outcomeUnknown, "outcome_unknown", 409, Ran::unknown, noRetry,
+                       "A call with this idempotency key may have run; its answer is not known." },
+    ErrorDescription {
         ErrorKind::ownerUnavailable, "owner_unavailable", 503, Ran::unknown, seconds (2),
         "The router that knows this idempotency key can't be reached; ask again with the same key." },
-    ErrorAnswer {
+    ErrorDescription {
         ErrorKind::requestMoved, "request_moved", 503, Ran::unknown, seconds (1),
         "This router is going; the request goes on, and its answer is at GET /v1/requests/{request_id}." },
-    ErrorAnswer { ErrorKind::resumeExpired, "resume_expired", 410, Ran::unknown, noRetry,
-                  "The answer can no longer be resumed from this event." },
-    ErrorAnswer { ErrorKind::editConflict, "edit_conflict", 409, Ran::no, noRetry,
-                  "Another edit of the settings came first." },
-    ErrorAnswer { ErrorKind::settingsInvalid, "settings_invalid", 422, Ran::no, noRetry,
-                  "The settings would not be valid." },
-    ErrorAnswer { ErrorKind::platformUnavailable, "platform_unavailable", 503, Ran::no, seconds (5),
-                  "The platform's key-value service can't be reached; nothing was changed." },
-    ErrorAnswer { ErrorKind::editUnknown, "edit_unknown", 503, Ran::unknown, seconds (5),
-                  "The edit may be stored; ask again with the same edit identifier." },
-    ErrorAnswer {
+    ErrorDescription { ErrorKind::resumeExpired, "resume_expired", 410, Ran::unknown, noRetry,
+                       "The answer can no longer be resumed from this event." },
+    ErrorDescription { ErrorKind::editConflict, "edit_conflict", 409, Ran::no, noRetry,
+                       "Another edit of the settings came first." },
+    ErrorDescription { ErrorKind::settingsInvalid, "settings_invalid", 422, Ran::no, noRetry,
+                       "The settings would not be valid." },
+    ErrorDescription { ErrorKind::platformUnavailable, "platform_unavailable", 503, Ran::no, seconds (5),
+                       "The platform's key-value service can't be reached; nothing was changed." },
+    ErrorDescription { ErrorKind::editUnknown, "edit_unknown", 503, Ran::unknown, seconds (5),
+                       "The edit may be stored; ask again with the same edit identifier." },
+    ErrorDescription {
         ErrorKind::crashesReplicas, "crashes_replicas", 503, Ran::no, seconds (600),
         "Replicas end when they run this request; it is not sent to any until it has not been seen for "
         "a while." },
-    ErrorAnswer { ErrorKind::internal, "internal", 500, Ran::unknown, noRetry,
-                  "The router failed in a way that it should not." },
+    ErrorDescription { ErrorKind::internal, "internal", 500, Ran::unknown, noRetry,
+                       "The router failed in a way that it should not." },
 };
 
 class Category final : public std::error_category
@@ -91,18 +93,19 @@
 
     [[nodiscard]] auto message (int value) const -> std::string override
     {
-        return std::string (answerFor (static_cast<ErrorKind> (value)).title);
+        return std::string (errorDescription (static_cast<ErrorKind> (value)).title);
     }
 };
 
 } // namespace
 
-auto answerFor (ErrorKind kind) -> const ErrorAnswer&
+auto errorDescription (ErrorKind kind) -> const ErrorDescription&
 {
     const auto index = static_cast<std::size_t> (kind) - 1;
 
-    requireInvariant (index < answers.size() && answers[index].kind == kind, "error table has a row a kind");
-    return answers[index];
+    requireInvariant (index < errorDescriptions.size() && errorDescriptions[index].kind == kind,
+                      "error table has a row a kind");
+    return errorDescriptions[index];
 }
 
 auto toString (Ran ran) -> std::string_view
@@ -122,7 +125,7 @@
 
 auto toString (ErrorKind kind) -> std::string_view
 {
-    return answerFor (kind).name;
+    return errorDescription (kind).name;
 }
 
 auto errorCategory() -> const std::error_category&
--- a/modules/snowrudder_core/errors/ErrorKind.h
+++ b/modules/snowrudder_core/errors/ErrorKind.h
@@ -53,7 +53,7 @@
 };
 
 /** What a caller is told about one kind of error. */
-struct ErrorAnswer
+struct ErrorDescription
 {
     ErrorKind kind;
     /** The `kind` member of the answer. */
@@ -69,7 +69,7 @@
 };
 
 /** @returns the row of the table for a kind. */
-auto answerFor (ErrorKind kind) -> const ErrorAnswer&;
+auto errorDescription (ErrorKind kind) -> const ErrorDescription&;
 
 /** @returns "no", "yes" or "unknown". */
 auto toString (Ran ran) -> std::string_view;
--- a/modules/snowrudder_core/errors/Problem.cpp
+++ b/modules/snowrudder_core/errors/Problem.cpp
@@ -10,13 +10,13 @@
 
 auto problemObject (const Problem& problem, std::string_view requestId) -> json::object
 {
-    const auto& answer = answerFor (problem.kind);
+    const auto& description = errorDescription (problem.kind);
 
     json::object object;
     object["type"] = "about:blank";
-    object["title"] = answer.title;
-    object["status"] = answer.status;
-    object["kind"] = answer.name;
+    object["title"] = description.title;
+    object["status"] = description.status;
+    object["kind"] = description.name;
     object["ran"] = toString (problem.ran);
     object["request_id"] = requestId;
 
@@ -25,9 +25,9 @@
 
     // Client libraries of the OpenAI shape look for this member.
     object["error"] = { { "message",
-                          problem.detail.empty() ? answer.title : std::string_view (problem.detail) },
-                        { "type", answer.name },
-                        { "code", answer.name } };
+                          problem.detail.empty() ? description.title : std::string_view (problem.detail) },
+                        { "type", description.name },
+                        { "code", description.name } };
     return object;
 }
 
@@ -35,8 +35,8 @@
 
 auto makeProblem (ErrorKind kind, std::string detail) -> Problem
 {
-    const auto& answer = answerFor (kind);
-    return { kind, answer.ran, std::move (detail), answer.retryAfter };
+    const auto& description = errorDescription (kind);
+    return { kind, description.ran, std::move (detail), description.retryAfter };
 }
 
 auto makeProblem (ErrorKind kind, Ran ran, std::string detail) -> Problem
--- a/modules/snowrudder_core/ids/RequestId.cpp
+++ b/modules/snowrudder_core/ids/RequestId.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto longestName = std::size_t { 63 };
+constexpr auto maxNameLength = std::size_t { 63 };
 
 auto isNameCharacter (char character) -> bool
 {
@@ -27,7 +27,7 @@
 {
     const auto dot = text.find ('.');
 
-    if (dot == std::string_view::npos || ! isName (text.substr (0, dot)))
+    if (dot == std::string_view::npos || ! isValidName (text.substr (0, dot)))
         return {};
 
     const auto uuid = parseUuid (text.substr (dot + 1));
@@ -38,9 +38,9 @@
     return RequestId { std::string (text.substr (0, dot)), *uuid };
 }
 
-auto isName (std::string_view text) -> bool
+auto isValidName (std::string_view text) -> bool
 {
-    return ! text.empty() && text.size() <= longestName && std::ranges::all_of (text, isNameCharacter);
+    return ! text.empty() && text.size() <= maxNameLength && std::ranges::all_of (text, isNameCharacter);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/ids/RequestId.h
+++ b/modules/snowrudder_core/ids/RequestId.h
@@ -28,6 +28,6 @@
 auto parseRequestId (std::string_view text) -> std::optional<RequestId>;
 
 /** @returns whether a text is 1 to 63 of a-z, 0-9 and '-'. */
-auto isName (std::string_view text) -> bool;
+auto isValidName (std::string_view text) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/ids/Signature.cpp
+++ b/modules/snowrudder_core/ids/Signature.cpp
@@ -61,7 +61,7 @@
                      std::string_view signature,
                      std::string_view message,
                      WallTime now,
-                     std::chrono::milliseconds longestAge) -> std::optional<std::string>
+                     std::chrono::milliseconds maxAge) -> std::optional<std::string>
 {
     const auto first = signature.find (';');
     const auto second = first == std::string_view::npos ? first : signature.find (';', first + 1);
@@ -71,16 +71,16 @@
 
     const auto name = signature.substr (0, first);
     const auto timeText = signature.substr (first + 1, second - first - 1);
-    const auto given = signature.substr (second + 1);
+    const auto submittedDigest = signature.substr (second + 1);
 
-    if (! isKeyedDigest (given, secret, signedText (name, timeText, message)))
+    if (! isKeyedDigest (submittedDigest, secret, signedText (name, timeText, message)))
         return {};
 
     auto milliseconds = std::int64_t { 0 };
     std::from_chars (timeText.data(), timeText.data() + timeText.size(), milliseconds);
     const auto age = now - WallTime (std::chrono::milliseconds (milliseconds));
 
-    if (age > longestAge || age < -longestAge)
+    if (age > maxAge || age < -maxAge)
         return {};
 
     return std::string (name);
--- a/modules/snowrudder_core/ids/Signature.h
+++ b/modules/snowrudder_core/ids/Signature.h
@@ -27,13 +27,13 @@
 
 /** Checks a signature and its age.
 
-    @param longestAge  of the signature, either way
+    @param maxAge  of the signature, either way
     @returns           the signing router's name, or nothing
 */
 auto checkSignature (std::string_view secret,
                      std::string_view signature,
                      std::string_view message,
                      WallTime now,
-                     std::chrono::milliseconds longestAge) -> std::optional<std::string>;
+                     std::chrono::milliseconds maxAge) -> std::optional<std::string>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/ids/Uuid.cpp
+++ b/modules/snowrudder_core/ids/Uuid.cpp
@@ -16,7 +16,7 @@
 constexpr auto timeBytes = 6;
 
 /** Random bytes are drawn in bulk: one system call serves many identifiers. */
-auto drawRandom (std::uint8_t* target, std::size_t count) -> void
+auto fillRandom (std::uint8_t* target, std::size_t count) -> void
 {
     constexpr auto poolSize = std::size_t { 4096 };
     thread_local std::array<std::uint8_t, poolSize> pool;
@@ -56,7 +56,7 @@
 auto makeUuid (WallTime time) -> Uuid
 {
     Uuid uuid;
-    drawRandom (uuid.bytes.data(), uuid.bytes.size());
+    fillRandom (uuid.bytes.data(), uuid.bytes.size());
 
     auto milliseconds = static_cast<std::uint64_t> (time.time_since_epoch().count());
 
--- a/modules/snowrudder_core/log/BoundedAppender.cpp
+++ b/modules/snowrudder_core/log/BoundedAppender.cpp
@@ -33,30 +33,30 @@
 
 auto BoundedAppender::mayAppend (std::size_t size, bool isOrdinary) -> bool
 {
-    if (buffer.size() + size > largestBuffer)
+    if (buffer.size() + size > maxBufferBytes)
         return false;
 
     const auto now = SteadyClock::now();
 
-    if (now - second >= 1s)
+    if (now - windowStart >= 1s)
     {
-        second = now;
-        bytesThisSecond = 0;
+        windowStart = now;
+        bytesInWindow = 0;
     }
 
-    if (isOrdinary && bytesThisSecond + size > ordinaryBytesASecond)
+    if (isOrdinary && bytesInWindow + size > maxOrdinaryBytesPerSecond)
         return false;
 
-    bytesThisSecond += isOrdinary ? size : 0;
+    bytesInWindow += isOrdinary ? size : 0;
     return true;
 }
 
 auto BoundedAppender::flush() -> void
 {
     // A pipe that polls as writable takes this many bytes without waiting (POSIX, PIPE_BUF).
-    constexpr auto pieceBytes = std::size_t { 4096 };
+    constexpr auto maxWriteBytes = std::size_t { 4096 };
 
-    if (dropped > 0 && buffer.size() < largestBuffer / 2)
+    if (dropped > 0 && buffer.size() < maxBufferBytes / 2)
     {
         buffer += "log_lines_dropped count=" + std::to_string (dropped) + "\n";
         dropped = 0;
@@ -69,7 +69,7 @@
         if (::poll (&state, 1, 0) != 1 || (state.revents & POLLOUT) == 0)
             return;
 
-        const auto written = ::write (STDOUT_FILENO, buffer.data(), std::min (buffer.size(), pieceBytes));
+        const auto written = ::write (STDOUT_FILENO, buffer.data(), std::min (buffer.size(), maxWriteBytes));
 
         if (written <= 0)
             return;
--- a/modules/snowrudder_core/log/BoundedAppender.h
+++ b/modules/snowrudder_core/log/BoundedAppender.h
@@ -32,16 +32,16 @@
     auto mayAppend (std::size_t size, bool isOrdinary) -> bool;
 
     /** Holds some seconds of an ordinary load's lines. */
-    static constexpr auto largestBuffer = std::size_t { 64 * 1024 };
+    static constexpr auto maxBufferBytes = std::size_t { 64 * 1024 };
     /** Written at once from this size on: one system call for some ten lines. */
     static constexpr auto flushBytes = std::size_t { 3 * 1024 };
     /** Bytes of ordinary lines a second: a node at its full load of some 50 requests a second writes half of it. */
-    static constexpr auto ordinaryBytesASecond = std::size_t { 96 * 1024 };
+    static constexpr auto maxOrdinaryBytesPerSecond = std::size_t { 96 * 1024 };
 
     std::string buffer;
     std::uint64_t dropped = 0;
-    TimePoint second {};
-    std::size_t bytesThisSecond = 0;
+    TimePoint windowStart {};
+    std::size_t bytesInWindow = 0;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/metrics/Metrics.cpp
+++ b/modules/snowrudder_core/metrics/Metrics.cpp
@@ -20,7 +20,7 @@
         out << "# TYPE " << name << ' ' << type << '\n';
 }
 
-auto braces (const std::string& labels) -> std::string
+auto formatLabels (const std::string& labels) -> std::string
 {
     return labels.empty() ? std::string() : "{" + labels + "}";
 }
@@ -44,9 +44,9 @@
     return Duration (total.load (std::memory_order_relaxed));
 }
 
-auto TimeHistogram::quantile (double share) const -> Duration
+auto TimeHistogram::quantile (double fraction) const -> Duration
 {
-    const auto wanted = share * static_cast<double> (count());
+    const auto targetCount = fraction * static_cast<double> (count());
     auto seen = 0.0;
     const auto& axis = histogram.axis();
 
@@ -54,7 +54,7 @@
     {
         seen += static_cast<double> (histogram.at (index).value());
 
-        if (seen >= wanted && seen > 0.0)
+        if (seen >= targetCount && seen > 0.0)
         {
             const auto upper = index < axis.size() ? axis.bin (index).upper() : largestSeconds;
             return std::chrono::duration_cast<Duration> (std::chrono::duration<double> (upper));
@@ -64,20 +64,20 @@
     return Duration::zero();
 }
 
-template <typename Figure>
-auto Metrics::find (std::deque<Entry<Figure>>& entries, std::string_view name, std::string_view labels)
-    -> Figure&
+template <typename Metric>
+auto Metrics::find (std::deque<Entry<Metric>>& entries, std::string_view name, std::string_view labels)
+    -> Metric&
 {
     const std::lock_guard lock (mutex);
 
     for (auto& entry : entries)
         if (entry.name == name && entry.labels == labels)
-            return entry.figure;
+            return entry.metric;
 
     auto& entry = entries.emplace_back();
     entry.name = name;
     entry.labels = labels;
-    return entry.figure;
+    return entry.metric;
 }
 
 auto Metrics::counter (std::string_view name, std::string_view labels) -> Counter&
@@ -104,13 +104,13 @@
     for (const auto& entry : counters)
     {
         writeType (out, seen, entry.name, "counter");
-        out << entry.name << braces (entry.labels) << ' ' << entry.figure.value() << '\n';
+        out << entry.name << formatLabels (entry.labels) << ' ' << entry.metric.value() << '\n';
     }
 
     for (const auto& entry : gauges)
     {
         writeType (out, seen, entry.name, "gauge");
-        out << entry.name << braces (entry.labels) << ' ' << entry.figure.value() << '\n';
+        out << entry.name << formatLabels (entry.labels) << ' ' << entry.metric.value() << '\n';
     }
 
     for (const auto& entry : histograms)
@@ -118,18 +118,18 @@
         writeType (out, seen, entry.name, "histogram");
         const auto separator = entry.labels.empty() ? "" : ",";
 
-        entry.figure.forEachBucket (
+        entry.metric.forEachBucket (
             [&] (double upper, std::uint64_t cumulative)
             {
                 out << entry.name << "_bucket{" << entry.labels << separator << "le=\"" << upper << "\"} "
                     << cumulative << '\n';
             });
 
-        const auto seconds = std::chrono::duration<double> (entry.figure.sum()).count();
+        const auto seconds = std::chrono::duration<double> (entry.metric.sum()).count();
         out << entry.name << "_bucket{" << entry.labels << separator << "le=\"+Inf\"} "
-            << entry.figure.count() << '\n'
-            << entry.name << "_sum" << braces (entry.labels) << ' ' << seconds << '\n'
-            << entry.name << "_count" << braces (entry.labels) << ' ' << entry.figure.count() << '\n';
+            << entry.metric.count() << '\n'
+            << entry.name << "_sum" << formatLabels (entry.labels) << ' ' << seconds << '\n'
+            << entry.name << "_count" << formatLabels (entry.labels) << ' ' << entry.metric.count() << '\n';
     }
 
     return out.str();
--- a/modules/snowrudder_core/metrics/Metrics.h
+++ b/modules/snowrudder_core/metrics/Metrics.h
@@ -52,7 +52,7 @@
 
         @param share  from 0 to 1
     */
-    [[nodiscard]] auto quantile (double share) const -> Duration;
+    [[nodiscard]] auto quantile (double fraction) const -> Duration;
 
     [[nodiscard]] auto count() const -> std::uint64_t { return entries.load (std::memory_order_relaxed); }
 
@@ -70,13 +70,13 @@
         {
             cumulative += static_cast<std::uint64_t> (histogram.at (index).value());
 
-            if (index >= 0 && index % binsABucket == binsABucket - 1)
+            if (index >= 0 && index % binsPerBucket == binsPerBucket - 1)
                 visit (axis.bin (index).upper(), cumulative);
         }
     }
 
 private:
-    static constexpr auto binsABucket = 50;
+    static constexpr auto binsPerBucket = 50;
 
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     using Cell = boost::histogram::accumulators::count<std::uint64_t, true>;
@@ -104,16 +104,16 @@
     [[nodiscard]] auto text() const -> std::string;
 
 private:
-    template <typename Figure>
+    template <typename Metric>
     struct Entry
     {
         std::string name;
         std::string labels;
-        Figure figure;
+        Metric metric;
     };
 
-    template <typename Figure>
-    auto find (std::deque<Entry<Figure>>& entries, std::string_view name, std::string_view labels) -> Figure&;
+    template <typename Metric>
+    auto find (std::deque<Entry<Metric>>& entries, std::string_view name, std::string_view labels) -> Metric&;
 
     mutable std::mutex mutex;
     std::deque<Entry<Counter>> counters;
--- a/modules/snowrudder_core/program/Program.cpp
+++ b/modules/snowrudder_core/program/Program.cpp
@@ -34,18 +34,18 @@
 
     for (const auto& option : allOptions (help))
     {
-        const auto left = "--" + option.name + (option.value.empty() ? "" : " " + option.value);
-        std::printf ("  %-28s %s\n", left.c_str(), option.help.c_str());
+        const auto syntax = "--" + option.name + (option.value.empty() ? "" : " " + option.value);
+        std::printf ("  %-28s %s\n", syntax.c_str(), option.help.c_str());
     }
 }
 
-[[noreturn]] auto endWithUsage (const ProgramHelp& help, const std::string& message) -> void
+[[noreturn]] auto exitWithUsageError (const ProgramHelp& help, const std::string& message) -> void
 {
     std::fprintf (stderr, "%s: %s (see --help)\n", help.name.c_str(), message.c_str());
     std::exit (static_cast<int> (ExitCode::usage));
 }
 
-auto takeOption (CommandLine& line, const ProgramHelp& help, const std::string& name, const char* value)
+auto applyOption (CommandLine& line, const ProgramHelp& help, const std::string& name, const char* value)
     -> void
 {
     if (name == "help")
@@ -104,22 +104,22 @@
             break;
 
         if (code != 0)
-            endWithUsage (help,
-                          std::string ("option not known or without its value: ") + arguments[optind - 1]);
+            exitWithUsageError (help, std::string ("option not known or without its value: ") +
+                                          arguments[optind - 1]);
 
-        takeOption (line, help, options[static_cast<std::size_t> (index)].name, optarg);
+        applyOption (line, help, options[static_cast<std::size_t> (index)].name, optarg);
     }
 
     for (auto position = optind; position < argumentCount; ++position)
         line.arguments.emplace_back (arguments[position]);
 
     if (help.needsSettings && line.settingsFile.empty())
-        endWithUsage (help, "--settings FILE is needed");
+        exitWithUsageError (help, "--settings FILE is needed");
 
     return line;
 }
 
-auto endProcess (ExitCode code) -> void
+auto exitProcess (ExitCode code) -> void
 {
     flushLog();
     std::fflush (nullptr);
--- a/modules/snowrudder_core/program/Program.h
+++ b/modules/snowrudder_core/program/Program.h
@@ -65,7 +65,7 @@
     grace time, 4 s after all that they had was closed, and their VMs served 4 s less (a rolling stop of all nodes on a
     quarter of a core each, virtual time; without, none).
 */
-[[noreturn]] auto endProcess (ExitCode code) -> void;
+[[noreturn]] auto exitProcess (ExitCode code) -> void;
 
 /** The version that `--version` prints. */
 inline constexpr auto versionText = std::string_view ("0.1.0");
--- a/modules/snowrudder_core/random/Jitter.cpp
+++ b/modules/snowrudder_core/random/Jitter.cpp
@@ -8,22 +8,22 @@
 namespace
 {
 
-auto engine() -> std::mt19937_64&
+auto threadGenerator() -> std::mt19937_64&
 {
-    thread_local std::mt19937_64 ofThread (std::random_device {}());
-    return ofThread;
+    thread_local std::mt19937_64 generator (std::random_device {}());
+    return generator;
 }
 
 } // namespace
 
-auto drawJitter() -> double
+auto randomFraction() -> double
 {
-    return std::uniform_real_distribution<double> (0.0, 1.0) (engine());
+    return std::uniform_real_distribution<double> (0.0, 1.0) (threadGenerator());
 }
 
-auto drawNumber() -> std::uint64_t
+auto randomNumber() -> std::uint64_t
 {
-    return engine()();
+    return threadGenerator()();
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/random/Jitter.h
+++ b/modules/snowrudder_core/random/Jitter.h
@@ -8,16 +8,16 @@
 {
 
 /** @returns a random number from 0 to 1. */
-auto drawJitter() -> double;
+auto randomFraction() -> double;
 
 /** @returns a random number of 64 bits. */
-auto drawNumber() -> std::uint64_t;
+auto randomNumber() -> std::uint64_t;
 
 /** @returns a pause of half to one and a half times the given one, so that nodes don't come back all at once. */
 inline auto jittered (Duration pause) -> Duration
 {
-    constexpr auto least = 0.5;
-    return std::chrono::duration_cast<Duration> (pause * (least + drawJitter()));
+    constexpr auto minFactor = 0.5;
+    return std::chrono::duration_cast<Duration> (pause * (minFactor + randomFraction()));
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/server/ProblemResponse.cpp
+++ b/modules/snowrudder_net/server/ProblemResponse.cpp
@@ -8,7 +8,7 @@
 auto problemResponse (const Problem& problem, std::string_view requestId, const boost::json::object& extra)
     -> HttpResponse
 {
-    HttpResponse response (static_cast<http::status> (answerFor (problem.kind).status), 11);
+    HttpResponse response (static_cast<http::status> (errorDescription (problem.kind).status), 11);
     response.set (http::field::content_type, "application/problem+json");
 
     if (! requestId.empty())
--- a/modules/snowrudder_router/model/ModelRun.cpp
+++ b/modules/snowrudder_router/model/ModelRun.cpp
@@ -415,7 +415,7 @@
     input.answerBegun = record->eventCount() > 0;
     input.attempts = countedAttempts (failures, 0);
     input.deadline = record->identity().deadline;
-    input.jitter = drawJitter();
+    input.jitter = randomFraction();
     input.budgetLeft = true;
 
     auto decision = decideAfterFailure (outcome, input, SteadyClock::now());
--- a/modules/snowrudder_router/once/OnceHandler.cpp
+++ b/modules/snowrudder_router/once/OnceHandler.cpp
@@ -130,7 +130,7 @@
         co_return Asked::noOwner;
 
     const auto type = toView (owner.header()[http::field::content_type]);
-    const auto isNotOwner = owner.status() == answerFor (ErrorKind::ownerUnavailable).status &&
+    const auto isNotOwner = owner.status() == errorDescription (ErrorKind::ownerUnavailable).status &&
                             type == "application/problem+json" &&
                             body.find ("owner_unavailable") != std::string::npos;
 
--- a/modules/snowrudder_router/peers/CrashExchange.cpp
+++ b/modules/snowrudder_router/peers/CrashExchange.cpp
@@ -44,7 +44,7 @@
 auto compareWithOne (RouterState& state, Worker& worker, TimePoint now) -> Task<void>
 {
     const auto peers = state.settings.peers_size();
-    const auto drawn = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
+    const auto drawn = std::min (static_cast<int> (randomFraction() * peers), peers - 1);
     const auto known = encoded (state, state.crashes.table().all (mostEvidenceTold, now), now);
     co_await tell (state, worker, state.settings.peers (drawn), known);
 }
--- a/modules/snowrudder_router/peers/TreeExchange.cpp
+++ b/modules/snowrudder_router/peers/TreeExchange.cpp
@@ -75,7 +75,7 @@
 
     for (;;)
     {
-        const auto drawn = std::min (static_cast<int> (drawJitter() * peers), peers - 1);
+        const auto drawn = std::min (static_cast<int> (randomFraction() * peers), peers - 1);
         co_await compareWith (state, worker, state.settings.peers (drawn));
         co_await pauseFor (worker.loop, jittered (interval));
     }
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -143,7 +143,7 @@
         const auto outcome = std::get<AttemptOutcome> (result);
         noteFailed (failures, outcome);
         retry.attempts = countedAttempts (failures, 0);
-        retry.jitter = drawJitter();
+        retry.jitter = randomFraction();
         auto decision = decideAfterFailure (outcome, retry, SteadyClock::now());
         retry.mayHaveRun = retry.mayHaveRun || ranAfter (outcome) != Ran::no;
 
--- a/modules/snowrudder_serving/crashes/CrashWatch.cpp
+++ b/modules/snowrudder_serving/crashes/CrashWatch.cpp
@@ -174,7 +174,7 @@
     if (mustPause (judgement))
     {
         co_await pauseFor (loop,
-                           std::chrono::duration_cast<Duration> (pauseBound (judgement) * drawJitter()));
+                           std::chrono::duration_cast<Duration> (pauseBound (judgement) * randomFraction()));
         judgement = crashes.judge (request, SteadyClock::now());
     }
 
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -73,7 +73,8 @@
                  bool isAskedAgain,
                  TimePoint now) -> std::optional<Problem>
 {
-    auto bounds = quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, drawJitter(), now);
+    auto bounds =
+        quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, randomFraction(), now);
     bounds.isAskedAgain = isAskedAgain;
     const auto admission = state.quota.admit (account, tokensOf (caller, account), bounds, now);
 
@@ -208,7 +209,7 @@
 
     const auto patience = caller.patience.value_or (request.route->timeout);
     request.end = arrived + std::min (patience, request.route->timeout);
-    request.service = pickService (*request.route, drawJitter());
+    request.service = pickService (*request.route, randomFraction());
     request.caller = std::move (caller);
     return request;
 }
--- a/modules/snowrudder_serving/relay/RoutedRun.cpp
+++ b/modules/snowrudder_serving/relay/RoutedRun.cpp
@@ -358,7 +358,7 @@
 {
     const auto now = SteadyClock::now();
     const SuspectRanking ranking (state.crashes.table(), request.fingerprint, judgement, prompt.tokens);
-    auto input = choiceInput (prompt, tried, state.nodeCount (now), drawNumber());
+    auto input = choiceInput (prompt, tried, state.nodeCount (now), randomNumber());
     ranking.applyTo (input);
 
     const auto rule = affordableRule();
@@ -414,7 +414,7 @@
     // An attempt that no replica ran leaves the route's number untouched, so that one more may be sent.
     input.mostAttempts = request.route->mostAttempts + (ranAfter (outcome) == Ran::no ? 1 : 0);
     input.deadline = request.end;
-    input.jitter = drawJitter();
+    input.jitter = randomFraction();
 
     auto decision = decideAfterFailure (outcome, input, SteadyClock::now());
     events.dropPartial();
@@ -458,7 +458,7 @@
 
 auto RoutedRun::refuse (Problem problem) -> Task<void>
 {
-    const auto status = answerFor (problem.kind).status;
+    const auto status = errorDescription (problem.kind).status;
     logEnd (toString (problem.kind), status);
     co_await exchange.respond (state.protocol.problem (problem, request.caller.id));
 }
--- a/modules/snowrudder_settings/reading/MessageReader.cpp
+++ b/modules/snowrudder_settings/reading/MessageReader.cpp
@@ -126,7 +126,7 @@
             const auto entryName = std::string (name);
             const auto entryPath = memberPath (path, entryName);
 
-            if (! isName (entryName))
+            if (! isValidName (entryName))
                 addError (entryPath, "must be a name of 1 to 63 of a-z, 0-9 and '-'");
 
             auto& entry = *message.GetReflection()->AddMessage (&message, &field);
@@ -172,7 +172,7 @@
 
         const auto text = std::string (value.get_string());
 
-        if (rulesOf (field).name() && ! isName (text))
+        if (rulesOf (field).name() && ! isValidName (text))
             return addError (path, "must be a name of 1 to 63 of a-z, 0-9 and '-'");
 
         if (rulesOf (field).endpoint() && ! isEndpoint (text))
--- a/programs/snowrudder-router.cpp
+++ b/programs/snowrudder-router.cpp
@@ -53,10 +53,10 @@
     const auto face = line.option ("face", "own");
 
     if (face == "platform")
-        endProcess (platform::runOnPlatform (line));
+        exitProcess (platform::runOnPlatform (line));
 
     if (face == "own")
-        endProcess (runOwnFace (line));
+        exitProcess (runOwnFace (line));
 
     std::fprintf (stderr, "%s: --face takes own or platform (see --help)\n", program);
     return static_cast<int> (ExitCode::usage);
--- a/tests/unit/CoreTests.cpp
+++ b/tests/unit/CoreTests.cpp
@@ -9,10 +9,10 @@
     for (auto value = static_cast<int> (ErrorKind::invalidRequest);
          value <= static_cast<int> (ErrorKind::internal); ++value)
     {
-        const auto& answer = answerFor (static_cast<ErrorKind> (value));
-        CHECK (static_cast<int> (answer.kind) == value);
-        CHECK (answer.status >= 400);
-        CHECK_FALSE (answer.name.empty());
+        const auto& description = errorDescription (static_cast<ErrorKind> (value));
+        CHECK (static_cast<int> (description.kind) == value);
+        CHECK (description.status >= 400);
+        CHECK_FALSE (description.name.empty());
     }
 }
 
