--- a/modules/snowrudder_core/assertions/Invariant.h
+++ b/modules/snowrudder_core/assertions/Invariant.h
@@ -5,20 +5,20 @@
 namespace snowrudder
 {
 
-/** Called with a breached invariant's name; must not return normally. */
+/** Called with the name of a violated invariant; must not return normally. */
 using InvariantHandler = void (*) (std::string_view name);
 
-/** Checks one of the promises that always hold. The check stays on in every build: a process that broke a
-    promise stops, rather than break it again.
+/** Checks an invariant, in every type of build: a process that has violated an invariant aborts, so that it can't
+    violate it again.
 
-    @param holds  whether the promise holds here
-    @param name   the promise's name, for the log and for tests that provoke a breach
+    @param holds  whether the invariant holds
+    @param name   the invariant's name, for the message and for tests that provoke a violation
 */
 auto requireInvariant (bool holds, std::string_view name) -> void;
 
-/** Replaces what happens at a breach, for the randomised runs.
+/** Replaces the handler of violated invariants, for randomised tests.
 
-    @returns the handler that was in place before
+    @returns the previous handler
 */
 auto setInvariantHandler (InvariantHandler handler) -> InvariantHandler;
 
--- a/modules/snowrudder_core/errors/ErrorKind.cpp
+++ b/modules/snowrudder_core/errors/ErrorKind.cpp
@@ -15,7 +15,7 @@
 
 constexpr auto noRetry = std::optional<seconds> {};
 
-// One row a kind, in the order of the enumeration.
+// One row per kind, in the order of the enumeration.
 constexpr auto errorDescriptions = std::array {
     ErrorDescription { ErrorKind::invalidRequest, "invalid_request", 400, Ran::no, noRetry,
                        "The request is not well formed." },
@@ -104,7 +104,7 @@
     const auto index = static_cast<std::size_t> (kind) - 1;
 
     requireInvariant (index < errorDescriptions.size() && errorDescriptions[index].kind == kind,
-                      "error table has a row a kind");
+                      "error table has a row per kind");
     return errorDescriptions[index];
 }
 
--- a/modules/snowrudder_core/errors/ErrorKind.h
+++ b/modules/snowrudder_core/errors/ErrorKind.h
@@ -8,7 +8,7 @@
 namespace snowrudder
 {
 
-/** Every way in which a request can fail. The list is closed: a new kind needs a row in the table too. */
+/** Every way in which a request can fail. Each kind needs a row in the table in ErrorKind.cpp. */
 enum class ErrorKind
 {
     invalidRequest = 1,
@@ -44,7 +44,7 @@
     internal
 };
 
-/** Whether the work that a request asked for took place. `no` is a promise. */
+/** Whether the work that a request asks for has been done. `no` is a guarantee. */
 enum class Ran
 {
     no,
@@ -52,35 +52,35 @@
     unknown
 };
 
-/** What a caller is told about one kind of error. */
+/** The response to a caller for one kind of error. */
 struct ErrorDescription
 {
     ErrorKind kind;
-    /** The `kind` member of the answer. */
+    /** The `kind` member of the response body. */
     std::string_view name;
     /** HTTP status. */
     unsigned status;
-    /** What holds when nothing more is known of the attempt. */
+    /** Applies when nothing more specific is known about the attempt. */
     Ran ran;
-    /** When asking again may help; empty where it does not. */
+    /** When a retry may succeed; empty if retrying doesn't help. */
     std::optional<std::chrono::seconds> retryAfter;
-    /** One sentence for a person. */
+    /** A sentence that describes the error to people. */
     std::string_view title;
 };
 
-/** @returns the row of the table for a kind. */
+/** @returns the table row for a kind. */
 auto errorDescription (ErrorKind kind) -> const ErrorDescription&;
 
 /** @returns "no", "yes" or "unknown". */
 auto toString (Ran ran) -> std::string_view;
 
-/** @returns the kind's name as callers see it. */
+/** @returns the kind's name in responses. */
 auto toString (ErrorKind kind) -> std::string_view;
 
-/** @returns the category that makes an ErrorKind a std::error_code. */
+/** @returns the category of error codes made from an ErrorKind. */
 auto errorCategory() -> const std::error_category&;
 
-/** Found by std::error_code's constructor. */
+/** Makes an ErrorKind convertible to std::error_code, whose constructor finds this function by its arguments. */
 auto make_error_code (ErrorKind kind) -> std::error_code; // NOLINT(readability-identifier-naming)
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/errors/Problem.cpp
+++ b/modules/snowrudder_core/errors/Problem.cpp
@@ -23,7 +23,7 @@
     if (! problem.detail.empty())
         object["detail"] = problem.detail;
 
-    // Client libraries of the OpenAI shape look for this member.
+    // OpenAI-compatible client libraries read this member.
     object["error"] = { { "message",
                           problem.detail.empty() ? description.title : std::string_view (problem.detail) },
                         { "type", description.name },
--- a/modules/snowrudder_core/errors/Problem.h
+++ b/modules/snowrudder_core/errors/Problem.h
@@ -12,30 +12,30 @@
 namespace snowrudder
 {
 
-/** One failed request, as its caller is told of it. */
+/** The failure of a request, as reported to its caller. */
 struct Problem
 {
     ErrorKind kind = ErrorKind::internal;
     Ran ran = Ran::unknown;
-    /** What went wrong here, without prompts, keys or addresses. */
+    /** What went wrong in this case. Must not contain prompts, keys or addresses. */
     std::string detail;
-    /** Replaces the table's advice when more is known. */
+    /** When to retry; empty if retrying doesn't help. Replaces the table's value when more is known. */
     std::optional<Duration> retryAfter;
 };
 
-/** @returns a problem with the table's `ran` and advice for its kind. */
+/** @returns a problem with the `ran` and `retryAfter` values that errorDescription() has for its kind. */
 auto makeProblem (ErrorKind kind, std::string detail = {}) -> Problem;
 
-/** @returns a problem whose `ran` is known better than the table knows it. */
+/** @returns a problem whose `ran` value is known and replaces the table's. */
 auto makeProblem (ErrorKind kind, Ran ran, std::string detail) -> Problem;
 
-/** @returns a problem with a better advice than the table's of when to ask again; a time of zero leaves the table's. */
+/** @returns the problem with another `retryAfter` value; zero leaves the value unchanged. */
 auto withRetry (Problem problem, Duration retryAfter) -> Problem;
 
-/** @returns the answer's body, application/problem+json.
+/** @returns the response body, application/problem+json.
 
-    @param requestId  the request's identifier; may be empty when none was given yet
-    @param extra      members beside the usual ones
+    @param requestId  the request's identifier; empty if it has none yet
+    @param extra      members that are added to the body; they replace standard members of the same name
 */
 auto problemBody (const Problem& problem, std::string_view requestId, const boost::json::object& extra = {})
     -> std::string;
--- a/modules/snowrudder_core/ids/Hex.h
+++ b/modules/snowrudder_core/ids/Hex.h
@@ -7,7 +7,7 @@
 namespace snowrudder
 {
 
-/** Appends a byte as two hexadecimal digits in lower case. */
+/** Appends a byte as two lower-case hexadecimal digits. */
 inline auto appendHex (std::string& text, std::uint8_t byte) -> void
 {
     constexpr auto digits = std::string_view ("0123456789abcdef");
--- a/modules/snowrudder_core/ids/Uuid.cpp
+++ b/modules/snowrudder_core/ids/Uuid.cpp
@@ -15,7 +15,7 @@
 constexpr auto textLength = std::size_t { 36 };
 constexpr auto timeBytes = 6;
 
-/** Random bytes are drawn in bulk: one system call serves many identifiers. */
+/** Fills a buffer with random bytes from a pool per thread, so that one system call serves many identifiers. */
 auto fillRandom (std::uint8_t* target, std::size_t count) -> void
 {
     constexpr auto poolSize = std::size_t { 4096 };
--- a/modules/snowrudder_core/ids/Uuid.h
+++ b/modules/snowrudder_core/ids/Uuid.h
@@ -11,7 +11,7 @@
 namespace snowrudder
 {
 
-/** A UUID of version 7: 48 bits of wall time in milliseconds, then random bits (RFC 9562). */
+/** A version 7 UUID: 48 bits of wall time in milliseconds, then random bits (RFC 9562). */
 struct Uuid
 {
     std::array<std::uint8_t, 16> bytes {};
@@ -23,16 +23,16 @@
 /** @returns a new UUIDv7 with the given time and random bits from the operating system. */
 auto makeUuid (WallTime time) -> Uuid;
 
-/** Reads a UUIDv7 in its usual form of 36 characters.
+/** Parses a UUIDv7 in the standard form of 36 characters, in either case.
 
-    @returns empty when the text has another form, version or variant
+    @returns the UUID, or nothing when the text has another form, version or variant
 */
 auto parseUuid (std::string_view text) -> std::optional<Uuid>;
 
-/** @returns the usual lower-case form of 36 characters. */
+/** @returns the standard lower-case form of 36 characters. */
 auto toString (const Uuid& uuid) -> std::string;
 
-/** @returns the time inside a UUIDv7. */
+/** @returns the wall time in a UUIDv7. */
 auto timeOf (const Uuid& uuid) -> WallTime;
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/json/JsonFields.h
+++ b/modules/snowrudder_core/json/JsonFields.h
@@ -11,7 +11,7 @@
 namespace snowrudder
 {
 
-/** @returns the object that a text from outside holds, or nothing where it is no JSON or no object. */
+/** @returns the JSON object in external text, or nothing if the text is not valid JSON or not an object. */
 inline auto parseObject (std::string_view text) -> std::optional<boost::json::object>
 {
     boost::system::error_code error;
@@ -23,29 +23,29 @@
     return std::move (value.get_object());
 }
 
-/** Reading members of JSON objects that come from outside: what is missing or of another type gives the fallback. */
+/** Functions that read members of external JSON objects: a missing member or one of another type gives the fallback. */
 
-/** @returns a member, or nullptr. */
+/** @returns the member of that name, or nullptr. */
 inline auto memberOf (const boost::json::object& object, std::string_view name) -> const boost::json::value*
 {
     return object.if_contains (boost::json::string_view (name.data(), name.size()));
 }
 
-/** @returns a member's text, or an empty one. */
+/** @returns the string in a member, or an empty string. */
 inline auto textIn (const boost::json::object& object, std::string_view name) -> std::string
 {
     const auto* value = memberOf (object, name);
     return value != nullptr && value->is_string() ? std::string (value->get_string()) : std::string();
 }
 
-/** @returns a member's number, or the fallback. */
+/** @returns the number in a member, or the fallback. */
 inline auto numberIn (const boost::json::object& object, std::string_view name, double fallback) -> double
 {
     const auto* value = memberOf (object, name);
     return value != nullptr && value->is_number() ? value->to_number<double>() : fallback;
 }
 
-/** @returns a member's whole number, not negative, or 0. */
+/** @returns the non-negative integer in a member, or 0. */
 inline auto wholeNumberIn (const boost::json::object& object, std::string_view name) -> std::uint64_t
 {
     const auto* value = memberOf (object, name);
@@ -54,7 +54,7 @@
     return error ? 0 : number;
 }
 
-/** @returns a member's truth value, or the fallback. */
+/** @returns the boolean in a member, or the fallback. */
 inline auto flagIn (const boost::json::object& object, std::string_view name, bool fallback) -> bool
 {
     const auto* value = memberOf (object, name);
--- a/modules/snowrudder_core/log/BoundedAppender.cpp
+++ b/modules/snowrudder_core/log/BoundedAppender.cpp
@@ -53,7 +53,7 @@
 
 auto BoundedAppender::flush() -> void
 {
-    // A pipe that polls as writable takes this many bytes without waiting (POSIX, PIPE_BUF).
+    // A pipe that polls as writable accepts this many bytes without blocking (POSIX, PIPE_BUF).
     constexpr auto maxWriteBytes = std::size_t { 4096 };
 
     if (dropped > 0 && buffer.size() < maxBufferBytes / 2)
--- a/modules/snowrudder_core/log/BoundedAppender.h
+++ b/modules/snowrudder_core/log/BoundedAppender.h
@@ -10,9 +10,9 @@
 namespace snowrudder
 {
 
-/** Writes log lines to standard output and never waits for it: lines gather in a buffer that is written when the pipe
-    takes it. What the buffer or the second's share of bytes can't hold is left out and counted; the count follows as a
-    line of its own. Warnings and errors don't count against the share.
+/** Writes log lines to standard output without ever blocking: lines are collected in a buffer, which is written when
+    the pipe accepts it. Lines that exceed the buffer or the limit of bytes per second are dropped and counted; a later
+    line reports the count. Warnings and errors are exempt from the limit per second.
 */
 class BoundedAppender : public log4cplus::Appender
 {
@@ -20,7 +20,7 @@
     BoundedAppender() = default;
     ~BoundedAppender() override { destructorImpl(); }
 
-    /** Writes what the pipe takes now. */
+    /** Writes as many buffered bytes as the pipe accepts now. */
     auto flush() -> void;
 
     auto close() -> void override { closed = true; }
@@ -31,11 +31,13 @@
 private:
     auto mayAppend (std::size_t size, bool isOrdinary) -> bool;
 
-    /** Holds some seconds of an ordinary load's lines. */
+    /** Holds the log lines of some seconds at an ordinary load. */
     static constexpr auto maxBufferBytes = std::size_t { 64 * 1024 };
-    /** Written at once from this size on: one system call for some ten lines. */
+    /** The buffer is written when it reaches this size: one system call for about ten lines. */
     static constexpr auto flushBytes = std::size_t { 3 * 1024 };
-    /** Bytes of ordinary lines a second: a node at its full load of some 50 requests a second writes half of it. */
+    /** Limit for lines below the warning level. A node at its full load, about 50 requests per second, writes half of
+        it.
+    */
     static constexpr auto maxOrdinaryBytesPerSecond = std::size_t { 96 * 1024 };
 
     std::string buffer;
--- a/modules/snowrudder_core/log/Log.cpp
+++ b/modules/snowrudder_core/log/Log.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-// log4cplus must outlive every logger, so it stays for the whole process.
+// log4cplus must outlive all loggers, so the initializer lives until the process exits.
 auto initializer() -> log4cplus::Initializer&
 {
     static log4cplus::Initializer instance;
@@ -53,7 +53,7 @@
     return value.empty() || value.find_first_of (" \"=\n\r\t") != std::string_view::npos;
 }
 
-/** Owned by the logger; null while lines go elsewhere. */
+/** Owned by the logger; nullptr while another appender is in use. */
 BoundedAppender* boundedAppender = nullptr;
 
 auto useAppender (const log4cplus::SharedAppenderPtr& appender, std::string_view program, LogLevel level)
--- a/modules/snowrudder_core/log/Log.h
+++ b/modules/snowrudder_core/log/Log.h
@@ -15,13 +15,13 @@
     error
 };
 
-/** One structured log line: an event's name, then `name=value` pairs. Values with spaces are quoted. Prompts,
-    bodies and keys are never logged.
+/** A structured log line: the name of an event, then `name=value` pairs. Empty values and values with spaces, quotation
+    marks, '=', tabs or line breaks are quoted. Prompts, bodies and keys must not be logged.
 */
 class LogLine
 {
 public:
-    /** @param event  what happened, in snake_case */
+    /** @param event  the name of the event, in snake_case */
     explicit LogLine (std::string_view event) : text (event) {}
 
     auto with (std::string_view name, std::string_view value) -> LogLine&;
@@ -37,7 +37,7 @@
         return withRaw (name, std::to_string (value));
     }
 
-    /** Writes a number with three decimals. */
+    /** Adds a number with three decimals. */
     auto with (std::string_view name, double value) -> LogLine&;
 
     auto write (LogLevel level) const -> void;
@@ -51,23 +51,23 @@
     std::string text;
 };
 
-/** Sends log lines to standard error through log4cplus, one line each with time, level and program.
+/** Writes log lines to standard error through log4cplus, each with time, level and program.
 
     @param program  the program's name
-    @param level    the least level that is written
+    @param level    the minimum level that is written
 */
 auto startLogging (std::string_view program, LogLevel level) -> void;
 
-/** Sends log lines to standard output instead, without ever waiting for it; see BoundedAppender. */
+/** Writes log lines to standard output instead, without ever blocking; see BoundedAppender. */
 auto startBoundedLogging (std::string_view program, LogLevel level) -> void;
 
-/** Writes gathered lines as far as standard output takes them now. Call some times a second. */
+/** Writes as many buffered lines as standard output accepts now. Call several times per second. */
 auto flushLog() -> void;
 
-/** @returns whether lines of a level are written; lets callers skip costly lines. */
+/** @returns whether lines of a level are written, so that callers can skip lines that are expensive to make. */
 auto isLogged (LogLevel level) -> bool;
 
-/** @returns the level of a name as on the command line: debug, info, warning, error; info for any other. */
+/** @returns the level for a name on the command line: debug, info, warning or error; info for any other name. */
 auto logLevelFromName (std::string_view name) -> LogLevel;
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/metrics/Metrics.h
+++ b/modules/snowrudder_core/metrics/Metrics.h
@@ -17,7 +17,7 @@
 namespace snowrudder
 {
 
-/** A count that only grows. Any thread may add. */
+/** A monotonically increasing count. Thread-safe. */
 class Counter
 {
 public:
@@ -28,7 +28,7 @@
     std::atomic<std::uint64_t> count { 0 };
 };
 
-/** A number that goes up and down. Any thread may change it. */
+/** A number that can increase and decrease. Thread-safe. */
 class Gauge
 {
 public:
@@ -40,7 +40,9 @@
     std::atomic<std::int64_t> level { 0 };
 };
 
-/** Times on a logarithmic axis from 10 microseconds to 1,000 seconds, 100 bins a decade. Any thread may add. */
+/** A histogram of durations on a logarithmic axis from 10 microseconds to 1,000 seconds, with 100 bins per decade. Any
+    thread may add entries.
+*/
 class TimeHistogram
 {
 public:
@@ -48,9 +50,9 @@
 
     auto add (Duration duration) -> void;
 
-    /** @returns the time that a share of all entries does not exceed, within a bin's width (2.4%).
+    /** @returns the duration that a fraction of all entries doesn't exceed, to the width of a bin (2.4%).
 
-        @param share  from 0 to 1
+        @param fraction  from 0 to 1
     */
     [[nodiscard]] auto quantile (double fraction) const -> Duration;
 
@@ -59,7 +61,7 @@
     /** @returns the sum of all entries. */
     [[nodiscard]] auto sum() const -> Duration;
 
-    /** Calls visit (upperBound, cumulativeCount) for some bounds, smallest first. */
+    /** Calls visit (upperBound, cumulativeCount) for each bucket of binsPerBucket bins, in ascending order. */
     template <typename Visitor>
     auto forEachBucket (Visitor&& visit) const -> void
     {
@@ -87,20 +89,21 @@
     std::atomic<std::int64_t> total { 0 };
 };
 
-/** All figures of one process, by name and labels. Figures live as long as the process, so callers keep
-    references and add to them without a lock. The lock guards only the list.
+/** All metrics of a process, by name and labels. Metrics are never removed, so callers keep references and update them
+    without a lock. The lock protects the lists only.
 */
 class Metrics
 {
 public:
-    /** @param name    Prometheus name
-        @param labels  text such as `kind="overloaded"`; may be empty
+    /** @param name    the metric's Prometheus name
+        @param labels  the labels in Prometheus' format, such as `kind="overloaded"`; may be empty
+        @returns       the metric, which is created on first use
     */
     auto counter (std::string_view name, std::string_view labels = {}) -> Counter&;
     auto gauge (std::string_view name, std::string_view labels = {}) -> Gauge&;
     auto histogram (std::string_view name, std::string_view labels = {}) -> TimeHistogram&;
 
-    /** @returns all figures in Prometheus' text format. */
+    /** @returns all metrics in Prometheus' text format. */
     [[nodiscard]] auto text() const -> std::string;
 
 private:
--- a/modules/snowrudder_core/program/Program.h
+++ b/modules/snowrudder_core/program/Program.h
@@ -10,36 +10,36 @@
 namespace snowrudder
 {
 
-/** Exit codes of every program, listed in docs/operators/README.md. */
+/** Exit codes of all programs, documented in docs/operators/README.md. */
 enum class ExitCode
 {
     success = 0,
-    /** The work was done and found something wrong: a check failed, an answer was bad. */
+    /** The program ran and detected a failure: a failed check or an error response, for example. */
     failed = 1,
-    /** The command line could not be understood. */
+    /** The command line is not valid. */
     usage = 2,
     /** A settings file could not be read or is not valid. */
     settings = 3,
-    /** An address could not be listened on, or a needed peer could not be reached. */
+    /** Listening on an address failed, or a required peer is not reachable. */
     unavailable = 4
 };
 
-/** What all programs take from their command line. */
+/** The command line options and arguments of a program. */
 struct CommandLine
 {
     std::string settingsFile;
     bool checkSettings = false;
     LogLevel logLevel = LogLevel::info;
-    /** The program's own options, by their long names, in the order given. */
+    /** Options specific to the program, by their long names, in the order given. */
     std::vector<std::pair<std::string, std::string>> options;
-    /** What follows the options. */
+    /** The arguments that follow the options. */
     std::vector<std::string> arguments;
 
-    /** @returns the last value of an option, or the fallback. */
+    /** @returns the last value given for an option, or the fallback. */
     [[nodiscard]] auto option (std::string_view name, std::string_view fallback = {}) const -> std::string;
 };
 
-/** One option of a program's own. It always takes a value. */
+/** Describes an option. The options of a program itself always take a value. */
 struct OptionHelp
 {
     std::string name;
@@ -47,27 +47,28 @@
     std::string help;
 };
 
-/** What `--help` says of a program. */
+/** The content of a program's `--help`. */
 struct ProgramHelp
 {
     std::string name;
     std::string summary;
-    /** Whether `--settings` must be given. */
+    /** Whether `--settings` is required. */
     bool needsSettings = true;
     std::vector<OptionHelp> options;
 };
 
-/** Reads the command line with getopt_long. Ends the process after `--help`, `--version` or a usage error. */
+/** Parses the command line with getopt_long. Exits the process after `--help`, `--version` or a usage error. */
 auto readCommandLine (int argumentCount, char** arguments, const ProgramHelp& help) -> CommandLine;
 
-/** Ends the process with what was logged and printed written out, but without the destructors of static objects. There, where the
-    log library ends threads of its own, seven of seven stopping processes stayed until they were killed at the end of their
-    grace time, 4 s after all that they had was closed, and their VMs served 4 s less (a rolling stop of all nodes on a
-    quarter of a core each, virtual time; without, none).
+/** Flushes logs and output, then exits without running the destructors of static objects. In those destructors the log
+    library stops its own threads, and a process can hang there: in a rolling stop of all nodes on a quarter of a core
+    each, in virtual time, seven of seven stopping processes hung until they were killed at the end of their grace
+    period, 4 s after they had closed everything, so that their VMs served for 4 s less. Without the destructors, none
+    hung.
 */
 [[noreturn]] auto exitProcess (ExitCode code) -> void;
 
-/** The version that `--version` prints. */
+/** The version printed by `--version`. */
 inline constexpr auto versionText = std::string_view ("0.1.0");
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/random/Jitter.h
+++ b/modules/snowrudder_core/random/Jitter.h
@@ -7,13 +7,13 @@
 namespace snowrudder
 {
 
-/** @returns a random number from 0 to 1. */
+/** @returns a uniformly distributed random number, at least 0 and less than 1. */
 auto randomFraction() -> double;
 
-/** @returns a random number of 64 bits. */
+/** @returns a random 64-bit number. */
 auto randomNumber() -> std::uint64_t;
 
-/** @returns a pause of half to one and a half times the given one, so that nodes don't come back all at once. */
+/** @returns the pause multiplied by a random factor from 0.5 to 1.5, so that nodes don't retry simultaneously. */
 inline auto jittered (Duration pause) -> Duration
 {
     constexpr auto minFactor = 0.5;
--- a/modules/snowrudder_core/snowrudder_core.h
+++ b/modules/snowrudder_core/snowrudder_core.h
@@ -1,13 +1,13 @@
 /** @file
-    snowrudder_core: what every other module builds on.
+    snowrudder_core: the basis of all other modules.
 
-    - errors/      the closed list of error kinds and the table from kind to answer
-    - ids/         request identifiers and the clock inside a UUIDv7
-    - json/        reading members of JSON objects that come from outside
-    - time/        the clock type and the reading of clocks
-    - log/         structured log lines
-    - metrics/     counters and histograms, Prometheus text
-    - assertions/  invariants that stay on in every build
+    - errors/      the error kinds, and the table of their responses
+    - ids/         request identifiers, UUIDv7, hashes and signatures
+    - json/        reading members of external JSON objects
+    - time/        clock and duration types, the current wall time
+    - log/         structured logging
+    - metrics/     counters, gauges and histograms in Prometheus' text format
+    - assertions/  invariants that are checked in every build
     - program/     command line and exit codes shared by all programs
 
     Depends on: Boost (Histogram, System), log4cplus, OpenSSL (random bytes, SHA-256), xxHash.
--- a/tests/unit/CoreTests.cpp
+++ b/tests/unit/CoreTests.cpp
@@ -4,7 +4,7 @@
 
 using namespace snowrudder;
 
-TEST_CASE ("every error kind has its row")
+TEST_CASE ("every error kind has a row in the error table")
 {
     for (auto value = static_cast<int> (ErrorKind::invalidRequest);
          value <= static_cast<int> (ErrorKind::internal); ++value)
@@ -16,7 +16,7 @@
     }
 }
 
-TEST_CASE ("a UUIDv7 keeps its time and reads back")
+TEST_CASE ("a UUIDv7 contains its time and can be parsed back")
 {
     const auto time = WallTime (std::chrono::milliseconds (1'796'213'474'123));
     const auto uuid = makeUuid (time);
@@ -25,7 +25,7 @@
     CHECK (makeUuid (time) != uuid);
 }
 
-TEST_CASE ("what is no UUIDv7 is refused")
+TEST_CASE ("text that is not a UUIDv7 is rejected")
 {
     for (const auto* text :
          { "", "x", "01a236aa-846a-4eae-8a4a-2bdabcca12cf", "01a236aa-846a-7eae-0a4a-2bdabcca12cf",
@@ -37,7 +37,7 @@
     }
 }
 
-TEST_CASE ("a request identifier names its router")
+TEST_CASE ("a request identifier contains the name of its router")
 {
     const RequestId id { "entry-1", makeUuid (wallTimeNow()) };
     CHECK (parseRequestId (toString (id)) == id);
@@ -45,7 +45,7 @@
     CHECK_FALSE (parseRequestId ("entry-1").has_value());
 }
 
-TEST_CASE ("a time histogram finds its quantiles within a bin")
+TEST_CASE ("quantiles of a time histogram are accurate to the width of a bin")
 {
     TimeHistogram histogram;
 
@@ -57,7 +57,7 @@
     CHECK (histogram.count() == 1000);
 }
 
-TEST_CASE ("figures are written as Prometheus text")
+TEST_CASE ("metrics are written in the Prometheus text format")
 {
     Metrics metrics;
     metrics.counter ("a_total", "kind=\"x\"").add (2);
