--- a/modules/snowrudder_admin/api/AdminHandler.cpp
+++ b/modules/snowrudder_admin/api/AdminHandler.cpp
@@ -1,8 +1,8 @@
 #include "AdminHandler.h"
 
-#include "../spread/TreeSpread.h"
+#include "../spread/TreeDistribution.h"
 #include "../store/EditProcedure.h"
-#include "Answers.h"
+#include "AdminResponses.h"
 #include "EditHandler.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 constexpr auto historyPrefix = std::string_view ("/v1/settings/history");
 constexpr auto checkPath = std::string_view ("/v1/settings:check");
 
-auto operatorOf (const AdminState& state, const Exchange& exchange) -> const schema::Operator*
+auto findOperator (const AdminState& state, const Exchange& exchange) -> const schema::Operator*
 {
     const auto key = bearerKey (exchange);
 
@@ -51,7 +51,7 @@
     {
         json::object value;
         value["value"] = entry.value;
-        value["from"] = entry.from;
+        value["from"] = entry.sourcePath;
         policy[entry.field] = std::move (value);
     }
 
@@ -95,14 +95,14 @@
 auto readHistory (AdminState& state) -> Task<std::optional<std::vector<StoredTree>>>
 {
     const auto head = co_await readHead (state);
-    const auto kept = co_await state.platform.list ("settings/history/", "settings");
+    const auto historyEntries = co_await state.platform.list ("settings/history/", "settings");
 
-    if (! head || ! kept)
+    if (! head || ! historyEntries)
         co_return std::nullopt;
 
     std::vector<StoredTree> trees { *head };
 
-    for (const auto& stored : *kept)
+    for (const auto& stored : *historyEntries)
         if (auto entry = readHistoryEntry (stored); entry && entry->revision < head->revision)
             trees.push_back (std::move (*entry));
 
@@ -138,10 +138,10 @@
     if (! trees)
         co_return co_await respondPlainProblem (exchange, ErrorKind::platformUnavailable);
 
-    const auto wanted = parseTreePath (exchange.path().substr (historyPrefix.size()));
+    const auto requestedPath = parseTreePath (exchange.path().substr (historyPrefix.size()));
     json::object body;
 
-    if (wanted.empty())
+    if (requestedPath.empty())
     {
         body["revisions"] = historyJson (*trees);
         co_return co_await respondJsonBody (exchange, http::status::ok, body);
@@ -149,7 +149,7 @@
 
     for (const auto& tree : *trees)
     {
-        if (std::to_string (tree.revision) != wanted.front())
+        if (std::to_string (tree.revision) != requestedPath.front())
             continue;
 
         body["revision"] = tree.revision;
@@ -174,29 +174,29 @@
     co_await respondJsonBody (exchange, http::status::ok, body);
 }
 
-auto routerJson (const RouterAnswer& answer) -> json::object
+auto routerJson (const RouterStatusResponse& response) -> json::object
 {
     json::object router;
-    router["name"] = answer.name;
-    router["failure_domain"] = answer.failureDomain;
-    router["reached"] = answer.reached;
+    router["name"] = response.name;
+    router["failure_domain"] = response.failureDomain;
+    router["reached"] = response.reached;
 
-    if (! answer.reached)
+    if (! response.reached)
         return router;
 
-    router["revision"] = answer.status.revision();
-    router["ready"] = answer.status.ready();
-    router["leaving"] = answer.status.leaving();
-    router["usable_replicas"] = answer.status.usable_replicas();
-    router["leaving_replicas"] = answer.status.leaving_replicas();
-    router["suspended_replicas"] = answer.status.suspended_replicas();
-    router["open_requests"] = answer.status.open_requests();
+    router["revision"] = response.status.revision();
+    router["ready"] = response.status.ready();
+    router["leaving"] = response.status.leaving();
+    router["usable_replicas"] = response.status.usable_replicas();
+    router["leaving_replicas"] = response.status.leaving_replicas();
+    router["suspended_replicas"] = response.status.suspended_replicas();
+    router["open_requests"] = response.status.open_requests();
     return router;
 }
 
 auto handleStatus (AdminState& state, Exchange& exchange) -> Task<void>
 {
-    const auto routers = co_await askRouters (state);
+    const auto routers = co_await queryRouters (state);
     const auto head = co_await readHead (state);
     json::array list;
 
@@ -213,7 +213,7 @@
     co_await respondJsonBody (exchange, http::status::ok, body);
 }
 
-auto answerProbe (AdminState& state, Exchange& exchange) -> Task<bool>
+auto respondToProbe (AdminState& state, Exchange& exchange) -> Task<bool>
 {
     if (exchange.path() == "/livez" || exchange.path() == "/readyz")
         co_await exchange.respond (http::status::ok, "text/plain", "ok\n");
@@ -260,10 +260,10 @@
 
 auto handleAdmin (AdminState& state, Exchange& exchange) -> Task<void>
 {
-    if (co_await answerProbe (state, exchange))
+    if (co_await respondToProbe (state, exchange))
         co_return;
 
-    const auto* author = operatorOf (state, exchange);
+    const auto* author = findOperator (state, exchange);
 
     if (author == nullptr)
         co_await respondPlainProblem (exchange, ErrorKind::unauthorized);
--- a/modules/snowrudder_admin/api/Answers.cpp
+++ b/modules/snowrudder_admin/api/AdminResponses.cpp
@@ -1,4 +1,4 @@
-#include "Answers.h"
+#include "AdminResponses.h"
 
 namespace snowrudder
 {
--- a/modules/snowrudder_admin/api/EditHandler.cpp
+++ b/modules/snowrudder_admin/api/EditHandler.cpp
@@ -1,7 +1,7 @@
 #include "EditHandler.h"
 
-#include "../spread/TreeSpread.h"
-#include "Answers.h"
+#include "../spread/TreeDistribution.h"
+#include "AdminResponses.h"
 
 #include <charconv>
 
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr auto acceptTime = 6s;
-constexpr auto retryPause = 200ms;
+constexpr auto acceptTimeout = 6s;
+constexpr auto retryInterval = 200ms;
 constexpr auto editHeader = "Snowrudder-Edit-Id";
 
 auto actionOf (http::verb method) -> EditAction
@@ -26,7 +26,7 @@
 }
 
 /** @returns the revision of If-Match, quoted or not; nothing where there is none. */
-auto knownRevision (const Exchange& exchange) -> std::optional<std::uint64_t>
+auto baseRevision (const Exchange& exchange) -> std::optional<std::uint64_t>
 {
     auto text = exchange.header ("If-Match");
 
@@ -42,43 +42,43 @@
 /** @returns the edit that a request asks for, or what is wrong with it. */
 auto readEdit (const Exchange& exchange, const std::string& author) -> std::variant<EditRequest, Problem>
 {
-    EditRequest wanted;
-    wanted.author = author;
-    wanted.nowSeconds = static_cast<std::uint64_t> (
+    EditRequest editRequest;
+    editRequest.author = author;
+    editRequest.nowSeconds = static_cast<std::uint64_t> (
         std::chrono::duration_cast<std::chrono::seconds> (wallTimeNow().time_since_epoch()).count());
-    wanted.id = std::string (exchange.header (editHeader));
+    editRequest.id = std::string (exchange.header (editHeader));
 
-    if (wanted.id.empty())
-        wanted.id = toString (makeUuid (wallTimeNow()));
-    else if (! isName (wanted.id))
+    if (editRequest.id.empty())
+        editRequest.id = toString (makeUuid (wallTimeNow()));
+    else if (! isName (editRequest.id))
         return makeProblem (ErrorKind::invalidRequest,
                             std::string (editHeader) + " must be 1 to 63 of a-z, 0-9 and '-'");
 
-    const auto revision = knownRevision (exchange);
+    const auto revision = baseRevision (exchange);
 
     if (! revision)
         return makeProblem (ErrorKind::invalidRequest,
                             "If-Match must give the revision that the edit starts from");
 
-    wanted.knownRevision = *revision;
-    wanted.edit.action = actionOf (exchange.request().method());
-    wanted.edit.path = settingsPath (exchange);
+    editRequest.baseRevision = *revision;
+    editRequest.edit.action = actionOf (exchange.request().method());
+    editRequest.edit.path = settingsPath (exchange);
 
-    if (wanted.edit.action == EditAction::remove)
-        return wanted;
+    if (editRequest.edit.action == EditAction::remove)
+        return editRequest;
 
     auto value = parseTree (exchange.request().body());
 
     if (! value)
         return makeProblem (ErrorKind::invalidRequest, "the body is not JSON");
 
-    wanted.edit.value = std::move (*value);
-    return wanted;
+    editRequest.edit.value = std::move (*value);
+    return editRequest;
 }
 
-auto heldBy (const std::vector<HeldRevision>& routers, std::uint64_t revision) -> std::int64_t
+auto countHolders (const std::vector<RouterRevision>& routers, std::uint64_t revision) -> std::int64_t
 {
-    return std::ranges::count_if (routers, [revision] (const HeldRevision& router)
+    return std::ranges::count_if (routers, [revision] (const RouterRevision& router)
                                   { return router.revision >= revision; });
 }
 
@@ -87,8 +87,8 @@
     auto extra = json::object();
     extra["revision"] = result.tree.revision;
 
-    if (result.known)
-        extra["changes"] = changesJson (diffTrees (result.known->tree, result.tree.tree));
+    if (result.baseTree)
+        extra["changes"] = changesJson (diffTrees (result.baseTree->tree, result.tree.tree));
 
     co_await respondProblem (exchange, makeProblem (ErrorKind::editConflict), extra);
 }
@@ -103,26 +103,26 @@
 /** Spreads a stored revision and says whether it is accepted. */
 auto respondStored (AdminState& state,
                     Exchange& exchange,
-                    const EditRequest& wanted,
+                    const EditRequest& editRequest,
                     const EditResult& result) -> Task<void>
 {
     const auto revision = result.tree.revision;
-    const auto held = co_await spreadRevision (state, result.tree, acceptTime);
+    const auto held = co_await distributeRevision (state, result.tree, acceptTimeout);
     const auto accepted = isAccepted (held, revision);
 
     LogLine ("edit")
-        .with ("edit_id", wanted.id)
-        .with ("author", wanted.author)
+        .with ("edit_id", editRequest.id)
+        .with ("author", editRequest.author)
         .with ("revision", revision)
         .with ("accepted", accepted ? "yes" : "no")
-        .with ("held_by", heldBy (held, revision))
+        .with ("held_by", countHolders (held, revision))
         .info();
 
     json::object body;
     body["accepted"] = accepted;
     body["revision"] = revision;
-    body["edit_id"] = wanted.id;
-    body["held_by"] = heldBy (held, revision);
+    body["edit_id"] = editRequest.id;
+    body["held_by"] = countHolders (held, revision);
 
     if (! accepted)
         body["detail"] =
@@ -133,49 +133,49 @@
 
 auto respondResult (AdminState& state,
                     Exchange& exchange,
-                    const EditRequest& wanted,
+                    const EditRequest& editRequest,
                     const EditResult& result) -> Task<void>
 {
     // An earlier try with this identifier may have stored it: then "nothing was changed" can't be promised.
-    const auto mayBeKnown = ! exchange.header (editHeader).empty();
+    const auto mayBeRetry = ! exchange.header (editHeader).empty();
     auto extra = json::object();
-    extra["edit_id"] = wanted.id;
+    extra["edit_id"] = editRequest.id;
 
     switch (result.kind)
     {
         case EditResult::Kind::stored:
-            co_return co_await respondStored (state, exchange, wanted, result);
+            co_return co_await respondStored (state, exchange, editRequest, result);
         case EditResult::Kind::conflict:
             co_return co_await respondConflict (exchange, result);
         case EditResult::Kind::invalid:
             co_return co_await respondInvalid (exchange, result);
         case EditResult::Kind::unavailable:
             co_return co_await respondProblem (
-                exchange, makeProblem (mayBeKnown ? ErrorKind::editUnknown : ErrorKind::platformUnavailable),
+                exchange, makeProblem (mayBeRetry ? ErrorKind::editUnknown : ErrorKind::platformUnavailable),
                 extra);
         case EditResult::Kind::unknown:
             co_await respondProblem (exchange, makeProblem (ErrorKind::editUnknown), extra);
     }
 }
 
-auto makeCall (AdminState& state, StoreCall call) -> Task<StoreAnswer>
+auto performCall (AdminState& state, StoreCall call) -> Task<StoreResponse>
 {
-    StoreAnswer answer;
+    StoreResponse response;
 
     if (! call.value)
     {
         const auto stored = co_await state.platform.read (call.key, "settings");
-        answer.outcome = stored ? WriteOutcome::done : WriteOutcome::unknown;
-        answer.value = stored.value_or (StoredValue {});
-        co_return answer;
+        response.outcome = stored ? WriteOutcome::done : WriteOutcome::unknown;
+        response.value = stored.value_or (StoredValue {});
+        co_return response;
     }
 
     constexpr auto noLease = std::uint64_t { 0 };
     const auto written = co_await state.platform.swap (call.key, call.expected, std::move (*call.value),
                                                        noLease, "settings_write");
-    answer.outcome = written.outcome;
-    answer.value.version = written.version;
-    co_return answer;
+    response.outcome = written.outcome;
+    response.value.version = written.version;
+    co_return response;
 }
 
 } // namespace
@@ -186,13 +186,13 @@
 
     while (auto call = procedure.next())
     {
-        const auto answer = co_await makeCall (state, std::move (*call));
-        procedure.take (answer);
+        const auto response = co_await performCall (state, std::move (*call));
+        procedure.handleResponse (response);
 
-        if (answer.outcome == WriteOutcome::done)
+        if (response.outcome == WriteOutcome::done)
             continue;
 
-        timer.expires_after (retryPause);
+        timer.expires_after (retryInterval);
         co_await timer.async_wait (asTuple);
     }
 }
@@ -207,10 +207,10 @@
         co_return;
     }
 
-    const auto& wanted = std::get<EditRequest> (read);
-    EditProcedure procedure (wanted);
+    const auto& editRequest = std::get<EditRequest> (read);
+    EditProcedure procedure (editRequest);
     co_await runProcedure (state, procedure);
-    co_await respondResult (state, exchange, wanted, *procedure.result());
+    co_await respondResult (state, exchange, editRequest, *procedure.result());
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/snowrudder_admin.h
+++ b/modules/snowrudder_admin/snowrudder_admin.h
@@ -11,5 +11,5 @@
 
 #include "api/AdminHandler.h"
 #include "api/AdminState.h"
-#include "spread/AcceptRule.h"
+#include "spread/AcceptanceRule.h"
 #include "store/EditProcedure.h"
--- a/modules/snowrudder_admin/spread/AcceptRule.cpp
+++ b/modules/snowrudder_admin/spread/AcceptanceRule.cpp
@@ -1,4 +1,4 @@
-#include "AcceptRule.h"
+#include "AcceptanceRule.h"
 
 #include <algorithm>
 #include <set>
@@ -6,9 +6,9 @@
 namespace snowrudder
 {
 
-auto isAccepted (std::span<const HeldRevision> routers, std::uint64_t revision) -> bool
+auto isAccepted (std::span<const RouterRevision> routers, std::uint64_t revision) -> bool
 {
-    constexpr auto wanted = std::size_t { 2 };
+    constexpr auto requiredCount = std::size_t { 2 };
     std::set<std::string> allDomains;
     std::set<std::string> holdingDomains;
     auto holders = std::size_t { 0 };
@@ -24,8 +24,8 @@
         ++holders;
     }
 
-    return holders >= std::min (wanted, std::max<std::size_t> (routers.size(), 1)) &&
-           holdingDomains.size() >= std::min (wanted, allDomains.size());
+    return holders >= std::min (requiredCount, std::max<std::size_t> (routers.size(), 1)) &&
+           holdingDomains.size() >= std::min (requiredCount, allDomains.size());
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/spread/AcceptRule.h
+++ b/modules/snowrudder_admin/spread/AcceptanceRule.h
@@ -8,7 +8,7 @@
 {
 
 /** What is known of one router's settings. */
-struct HeldRevision
+struct RouterRevision
 {
     std::string failureDomain;
     /** 0 where it did not answer. */
@@ -19,6 +19,6 @@
     one domain or one router, as many as there can be. From there it reaches every router without the platform's service,
     and neither the accepting process nor a whole failure domain can take it along (docs/design/settings.md).
 */
-auto isAccepted (std::span<const HeldRevision> routers, std::uint64_t revision) -> bool;
+auto isAccepted (std::span<const RouterRevision> routers, std::uint64_t revision) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/spread/TreeSpread.h
+++ b/modules/snowrudder_admin/spread/TreeDistribution.h
@@ -2,7 +2,7 @@
 
 #include "../api/AdminState.h"
 #include "../store/EditProcedure.h"
-#include "AcceptRule.h"
+#include "AcceptanceRule.h"
 
 #include "node_messages.pb.h"
 
@@ -16,11 +16,11 @@
     @param longest  gives up after this long
     @returns        what each router held last, in the order of the settings
 */
-auto spreadRevision (AdminState& state, const StoredTree& tree, Duration longest)
-    -> Task<std::vector<HeldRevision>>;
+auto distributeRevision (AdminState& state, const StoredTree& tree, Duration timeout)
+    -> Task<std::vector<RouterRevision>>;
 
 /** A router's answer to a question for its state. */
-struct RouterAnswer
+struct RouterStatusResponse
 {
     std::string name;
     std::string failureDomain;
@@ -30,6 +30,6 @@
 };
 
 /** Asks all routers for their state at once. */
-auto askRouters (AdminState& state) -> Task<std::vector<RouterAnswer>>;
+auto queryRouters (AdminState& state) -> Task<std::vector<RouterStatusResponse>>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/store/EditProcedure.cpp
+++ b/modules/snowrudder_admin/store/EditProcedure.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr auto mostFailures = std::uint32_t { 6 };
+constexpr auto maxFailures = std::uint32_t { 6 };
 
 /** Values of the platform hold up to a megabyte (letter 1); the rest is room for the history's wrapping. */
-constexpr auto largestTree = std::size_t { 900'000 };
+constexpr auto maxTreeBytes = std::size_t { 900'000 };
 
-constexpr auto markName = "edit";
+constexpr auto editMarkMember = "edit";
 
-auto fillMark (StoredTree& stored) -> void
+auto readEditMark (StoredTree& stored) -> void
 {
-    const auto* mark = valueAt (stored.tree, { markName });
+    const auto* mark = valueAt (stored.tree, { editMarkMember });
 
     if (mark == nullptr || ! mark->is_object())
         return;
@@ -42,7 +42,7 @@
         return {};
 
     StoredTree stored { revision, text, std::move (*tree), {}, 0 };
-    fillMark (stored);
+    readEditMark (stored);
     return stored;
 }
 
@@ -70,7 +70,7 @@
 
 auto EditProcedure::next() const -> std::optional<StoreCall>
 {
-    if (ended)
+    if (finalResult)
         return {};
 
     switch (step)
@@ -79,7 +79,7 @@
         case Step::readBack:
             return StoreCall { treeStoreKey, {}, 0 };
         case Step::searchHistory:
-            return StoreCall { historyKey (head.number - 1 - searched), {}, 0 };
+            return StoreCall { historyKey (head.number - 1 - searchedEntries), {}, 0 };
         case Step::readSlot:
             return StoreCall { historyKey (head.number), {}, 0 };
         case Step::writeSlot:
@@ -93,31 +93,31 @@
     return StoreCall { historyKey (head.number + 1), {}, 0 };
 }
 
-auto EditProcedure::take (const StoreAnswer& answer) -> void
+auto EditProcedure::handleResponse (const StoreResponse& response) -> void
 {
-    requireInvariant (! ended.has_value(), "an edit ends once");
+    requireInvariant (! finalResult.has_value(), "an edit ends once");
 
     switch (step)
     {
         case Step::readHead:
-            return takeHead (answer);
+            return handleHead (response);
         case Step::searchHistory:
-            return takeSearch (answer);
+            return handleHistorySearch (response);
         case Step::readSlot:
         case Step::writeSlot:
-            return takeSlot (answer);
+            return handleHistorySlot (response);
         case Step::writeHead:
-            return takeHeadWritten (answer);
+            return handleHeadWritten (response);
         case Step::readBack:
-            return takeReadBack (answer);
+            return handleReadBack (response);
         case Step::readBackHistory:
-            return takeReadBackHistory (answer);
+            return handleReadBackHistory (response);
     }
 }
 
-auto EditProcedure::takeHead (const StoreAnswer& answer) -> void
+auto EditProcedure::handleHead (const StoreResponse& response) -> void
 {
-    auto stored = answer.outcome == WriteOutcome::done ? readStoredTree (answer.value) : std::nullopt;
+    auto stored = response.outcome == WriteOutcome::done ? readStoredTree (response.value) : std::nullopt;
 
     if (! stored)
         return retry (Step::readHead);
@@ -127,33 +127,33 @@
     if (head.editId == request.id)
         return end (EditResult::Kind::stored);
 
-    if (head.revision != request.knownRevision)
+    if (head.revision != request.baseRevision)
         return searchOrConflict();
 
-    makeTree();
+    buildTree();
 }
 
 auto EditProcedure::searchOrConflict() -> void
 {
     // The edit may be stored already and followed by others. They were made since the revision that it was made from.
-    const auto isWorthwhile = head.revision > request.knownRevision && searched + 1 < historyLength;
+    const auto canBeInHistory = head.revision > request.baseRevision && searchedEntries + 1 < historyLength;
 
-    if (head.number > searched && isWorthwhile)
+    if (head.number > searchedEntries && canBeInHistory)
         step = Step::searchHistory;
     else
         end (EditResult::Kind::conflict);
 }
 
-auto EditProcedure::takeSearch (const StoreAnswer& answer) -> void
+auto EditProcedure::handleHistorySearch (const StoreResponse& response) -> void
 {
-    if (answer.outcome != WriteOutcome::done)
+    if (response.outcome != WriteOutcome::done)
         return retry (Step::searchHistory);
 
-    auto entry = readHistoryEntry (answer.value);
-    const auto number = head.number - 1 - searched;
+    auto entry = readHistoryEntry (response.value);
+    const auto number = head.number - 1 - searchedEntries;
 
     // An entry of another number was overwritten, or never kept: nothing older is there.
-    if (! entry || entry->number != number || entry->revision < request.knownRevision)
+    if (! entry || entry->number != number || entry->revision < request.baseRevision)
         return end (EditResult::Kind::conflict);
 
     if (entry->editId == request.id)
@@ -162,17 +162,17 @@
         return end (EditResult::Kind::stored);
     }
 
-    if (entry->revision == request.knownRevision)
+    if (entry->revision == request.baseRevision)
     {
-        known = std::move (*entry);
+        baseTree = std::move (*entry);
         return end (EditResult::Kind::conflict);
     }
 
-    ++searched;
+    ++searchedEntries;
     searchOrConflict();
 }
 
-auto EditProcedure::makeTree() -> void
+auto EditProcedure::buildTree() -> void
 {
     auto tree = head.tree;
     EditResult problem;
@@ -185,7 +185,7 @@
     mark["number"] = head.number + 1;
     mark["author"] = request.author;
     mark["written_seconds"] = request.nowSeconds;
-    tree.as_object()[markName] = std::move (mark);
+    tree.as_object()[editMarkMember] = std::move (mark);
     newText = prettyJson (tree);
 
     schema::FleetSettings message;
@@ -196,56 +196,56 @@
     if (problem.errors.empty())
         problem.errors = checkTree (message, "tree");
 
-    if (problem.errors.empty() && newText.size() > largestTree)
+    if (problem.errors.empty() && newText.size() > maxTreeBytes)
         problem.errors.push_back (
-            { "tree", 0, "", "is larger than " + std::to_string (largestTree) + " bytes" });
+            { "tree", 0, "", "is larger than " + std::to_string (maxTreeBytes) + " bytes" });
 
     if (! problem.errors.empty())
     {
         problem.kind = EditResult::Kind::invalid;
         problem.tree = head;
-        ended = std::move (problem);
+        finalResult = std::move (problem);
         return;
     }
 
     step = Step::readSlot;
 }
 
-auto EditProcedure::takeSlot (const StoreAnswer& answer) -> void
+auto EditProcedure::handleHistorySlot (const StoreResponse& response) -> void
 {
-    if (step == Step::writeSlot && answer.outcome == WriteOutcome::done)
+    if (step == Step::writeSlot && response.outcome == WriteOutcome::done)
     {
         step = Step::writeHead;
         return;
     }
 
-    if (step == Step::writeSlot || answer.outcome != WriteOutcome::done)
+    if (step == Step::writeSlot || response.outcome != WriteOutcome::done)
         return retry (Step::readSlot);
 
-    slotVersion = answer.value.version;
-    const auto kept = readHistoryEntry (answer.value);
+    slotVersion = response.value.version;
+    const auto kept = readHistoryEntry (response.value);
 
     // Another operator's try may have kept the same revision already.
     step = kept && kept->revision == head.revision ? Step::writeHead : Step::writeSlot;
 }
 
-auto EditProcedure::takeHeadWritten (const StoreAnswer& answer) -> void
+auto EditProcedure::handleHeadWritten (const StoreResponse& response) -> void
 {
-    if (answer.outcome == WriteOutcome::done)
+    if (response.outcome == WriteOutcome::done)
     {
-        auto stored = readTree (answer.value.version, newText);
+        auto stored = readTree (response.value.version, newText);
         requireInvariant (stored.has_value() && stored->revision > head.revision, "a revision goes forward");
         head = std::move (*stored);
         return end (EditResult::Kind::stored);
     }
 
-    mayBeStored = mayBeStored || answer.outcome == WriteOutcome::unknown;
+    mayBeStored = mayBeStored || response.outcome == WriteOutcome::unknown;
     step = Step::readBack;
 }
 
-auto EditProcedure::takeReadBack (const StoreAnswer& answer) -> void
+auto EditProcedure::handleReadBack (const StoreResponse& response) -> void
 {
-    auto now = answer.outcome == WriteOutcome::done ? readStoredTree (answer.value) : std::nullopt;
+    auto now = response.outcome == WriteOutcome::done ? readStoredTree (response.value) : std::nullopt;
 
     if (! now)
         return retry (Step::readBack);
@@ -267,33 +267,33 @@
         return;
     }
 
-    known = std::move (head);
+    baseTree = std::move (head);
     head = std::move (*now);
     end (EditResult::Kind::conflict);
 }
 
-auto EditProcedure::takeReadBackHistory (const StoreAnswer& answer) -> void
+auto EditProcedure::handleReadBackHistory (const StoreResponse& response) -> void
 {
-    if (answer.outcome != WriteOutcome::done)
+    if (response.outcome != WriteOutcome::done)
         return retry (Step::readBackHistory);
 
-    auto entry = readHistoryEntry (answer.value);
+    auto entry = readHistoryEntry (response.value);
 
     // Too many edits since: the entry is gone, and with it the proof.
     if (! entry || entry->number != head.number + 1)
         return end (EditResult::Kind::unknown);
 
     const auto isOurs = entry->editId == request.id;
-    known = std::move (head);
+    baseTree = std::move (head);
     head = std::move (*entry);
     end (isOurs ? EditResult::Kind::stored : EditResult::Kind::conflict);
 }
 
-auto EditProcedure::retry (Step again) -> void
+auto EditProcedure::retry (Step nextStep) -> void
 {
-    step = again;
+    step = nextStep;
 
-    if (++failures <= mostFailures)
+    if (++failures <= maxFailures)
         return;
 
     end (mayBeStored ? EditResult::Kind::unknown : EditResult::Kind::unavailable);
@@ -304,8 +304,8 @@
     EditResult result;
     result.kind = kind;
     result.tree = head;
-    result.known = std::move (known);
-    ended = std::move (result);
+    result.baseTree = std::move (baseTree);
+    finalResult = std::move (result);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/store/EditProcedure.h
+++ b/modules/snowrudder_admin/store/EditProcedure.h
@@ -46,7 +46,7 @@
 };
 
 /** What came of it. */
-struct StoreAnswer
+struct StoreResponse
 {
     /** Of a read: done or unknown. */
     WriteOutcome outcome = WriteOutcome::unknown;
@@ -75,7 +75,7 @@
     /** In force, where stored; else the current revision. */
     StoredTree tree;
     /** The revision that the operator knew, where a conflict and still kept. */
-    std::optional<StoredTree> known;
+    std::optional<StoredTree> baseTree;
     SettingsErrors errors;
 };
 
@@ -86,7 +86,7 @@
     std::string author;
     TreeEdit edit;
     /** The revision that the operator knew. */
-    std::uint64_t knownRevision = 0;
+    std::uint64_t baseRevision = 0;
     std::uint64_t nowSeconds = 0;
 };
 
@@ -99,15 +99,15 @@
 class EditProcedure
 {
 public:
-    explicit EditProcedure (EditRequest wanted) : request (std::move (wanted)) {}
+    explicit EditProcedure (EditRequest editRequest) : request (std::move (editRequest)) {}
 
     /** @returns the next call to make, or nothing once there is a result. */
     [[nodiscard]] auto next() const -> std::optional<StoreCall>;
 
     /** Takes the answer of the call that next() asked for. */
-    auto take (const StoreAnswer& answer) -> void;
+    auto handleResponse (const StoreResponse& response) -> void;
 
-    [[nodiscard]] auto result() const -> const std::optional<EditResult>& { return ended; }
+    [[nodiscard]] auto result() const -> const std::optional<EditResult>& { return finalResult; }
 
 private:
     enum class Step
@@ -121,29 +121,29 @@
         readBackHistory
     };
 
-    auto takeHead (const StoreAnswer& answer) -> void;
-    auto takeSearch (const StoreAnswer& answer) -> void;
-    auto takeSlot (const StoreAnswer& answer) -> void;
-    auto takeHeadWritten (const StoreAnswer& answer) -> void;
-    auto takeReadBack (const StoreAnswer& answer) -> void;
-    auto takeReadBackHistory (const StoreAnswer& answer) -> void;
+    auto handleHead (const StoreResponse& response) -> void;
+    auto handleHistorySearch (const StoreResponse& response) -> void;
+    auto handleHistorySlot (const StoreResponse& response) -> void;
+    auto handleHeadWritten (const StoreResponse& response) -> void;
+    auto handleReadBack (const StoreResponse& response) -> void;
+    auto handleReadBackHistory (const StoreResponse& response) -> void;
     auto searchOrConflict() -> void;
-    auto makeTree() -> void;
+    auto buildTree() -> void;
     auto end (EditResult::Kind kind) -> void;
     /** Goes to a step again after a failure, or gives up. */
-    auto retry (Step again) -> void;
+    auto retry (Step nextStep) -> void;
 
     EditRequest request;
     Step step = Step::readHead;
     StoredTree head;
     std::string newText;
     std::uint64_t slotVersion = 0;
-    std::uint32_t searched = 0;
+    std::uint32_t searchedEntries = 0;
     std::uint32_t failures = 0;
     /** Whether a write of the head may have taken effect without our knowing. */
     bool mayBeStored = false;
-    std::optional<StoredTree> known;
-    std::optional<EditResult> ended;
+    std::optional<StoredTree> baseTree;
+    std::optional<EditResult> finalResult;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_chat/chunk/ChatWriter.cpp
+++ b/modules/snowrudder_chat/chunk/ChatWriter.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-ChatWriter::ChatWriter (AnswerHead answerHead) : head (std::move (answerHead))
+ChatWriter::ChatWriter (CompletionMetadata completionMetadata) : head (std::move (completionMetadata))
 {
     json::object object { { "id", "chatcmpl-" + head.id },
                           { "object", "chat.completion.chunk" },
@@ -116,13 +116,13 @@
 namespace
 {
 
-auto mergeToolCall (json::object& known, const json::object& part) -> void
+auto mergeToolCall (json::object& existing, const json::object& part) -> void
 {
     for (const auto& [name, value] : part)
     {
-        if (name == "function" && value.is_object() && known.contains ("function"))
+        if (name == "function" && value.is_object() && existing.contains ("function"))
         {
-            auto& function = known["function"].get_object();
+            auto& function = existing["function"].get_object();
 
             for (const auto& [member, added] : value.get_object())
             {
@@ -134,14 +134,14 @@
         }
         else
         {
-            known[name] = value;
+            existing[name] = value;
         }
     }
 }
 
 } // namespace
 
-auto mergeToolCalls (json::array& gathered, std::string_view choice) -> void
+auto mergeToolCalls (json::array& collected, std::string_view choice) -> void
 {
     boost::system::error_code error;
     const auto value = json::parse (json::string_view (choice.data(), choice.size()), error);
@@ -157,17 +157,17 @@
 
         const auto& part = call.get_object();
         const auto* index = part.if_contains ("index");
-        auto* known = static_cast<json::object*> (nullptr);
+        auto* existing = static_cast<json::object*> (nullptr);
 
-        for (auto& entry : gathered)
+        for (auto& entry : collected)
             if (index != nullptr && entry.get_object().contains ("index") &&
                 entry.get_object()["index"] == *index)
-                known = &entry.get_object();
+                existing = &entry.get_object();
 
-        if (known == nullptr)
-            gathered.emplace_back (part);
+        if (existing == nullptr)
+            collected.emplace_back (part);
         else
-            mergeToolCall (*known, part);
+            mergeToolCall (*existing, part);
     }
 }
 
--- a/modules/snowrudder_chat/chunk/ChatWriter.h
+++ b/modules/snowrudder_chat/chunk/ChatWriter.h
@@ -10,7 +10,7 @@
 {
 
 /** What stays the same over all chunks of one answer. */
-struct AnswerHead
+struct CompletionMetadata
 {
     /** The request's identifier: the same whichever engine answers. */
     std::string id;
@@ -22,7 +22,7 @@
 class ChatWriter
 {
 public:
-    explicit ChatWriter (AnswerHead answerHead);
+    explicit ChatWriter (CompletionMetadata completionMetadata);
 
     /** Appends an event with added text.
 
@@ -57,11 +57,11 @@
 private:
     auto appendHead (std::string& target, std::uint64_t eventId) const -> void;
 
-    AnswerHead head;
+    CompletionMetadata head;
     std::string chunkHead;
 };
 
 /** Adds the tool calls of a streamed choice to those gathered so far: parts with the same index are joined. */
-auto mergeToolCalls (boost::json::array& gathered, std::string_view choice) -> void;
+auto mergeToolCalls (boost::json::array& collected, std::string_view choice) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_chat/request/ChatRequest.cpp
+++ b/modules/snowrudder_chat/request/ChatRequest.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-auto badMember (std::string_view name, std::string_view rule) -> Problem
+auto memberProblem (std::string_view name, std::string_view rule) -> Problem
 {
     return makeProblem (ErrorKind::invalidRequest, "\"" + std::string (name) + "\" " + std::string (rule));
 }
 
 /** @returns a member that is there and not null, or nullptr. */
-auto find (const json::object& object, std::string_view name) -> const json::value*
+auto findMember (const json::object& object, std::string_view name) -> const json::value*
 {
     const auto* value = object.if_contains (json::string_view (name.data(), name.size()));
     return value == nullptr || value->is_null() ? nullptr : value;
@@ -35,24 +35,25 @@
 
     for (const auto& part : *parts)
         if (const auto* object = part.if_object())
-            if (const auto* partText = find (*object, "text"); partText != nullptr && partText->is_string())
+            if (const auto* partText = findMember (*object, "text");
+                partText != nullptr && partText->is_string())
                 text.append (partText->get_string().data(), partText->get_string().size());
 }
 
 auto checkMessages (const json::object& body) -> std::optional<Problem>
 {
-    const auto* messages = find (body, "messages");
+    const auto* messages = findMember (body, "messages");
 
     if (messages == nullptr || ! messages->is_array() || messages->get_array().empty())
-        return badMember ("messages", "must be a list with at least one message");
+        return memberProblem ("messages", "must be a list with at least one message");
 
     for (const auto& message : messages->get_array())
     {
         const auto* object = message.if_object();
-        const auto* role = object == nullptr ? nullptr : find (*object, "role");
+        const auto* role = object == nullptr ? nullptr : findMember (*object, "role");
 
         if (role == nullptr || ! role->is_string())
-            return badMember ("messages", "must hold objects with a \"role\"");
+            return memberProblem ("messages", "must hold objects with a \"role\"");
     }
 
     return {};
@@ -60,14 +61,15 @@
 
 auto checkOptions (const json::object& body) -> std::optional<Problem>
 {
-    if (const auto* count = find (body, "n"); count != nullptr && *count != 1)
+    if (const auto* count = findMember (body, "n"); count != nullptr && *count != 1)
         return makeProblem (ErrorKind::unsupported, "\"n\" other than 1 is not offered");
 
-    if (const auto* stream = find (body, "stream"); stream != nullptr && ! stream->is_bool())
-        return badMember ("stream", "must be true or false");
+    if (const auto* stream = findMember (body, "stream"); stream != nullptr && ! stream->is_bool())
+        return memberProblem ("stream", "must be true or false");
 
-    if (const auto* options = find (body, "stream_options"); options != nullptr && ! options->is_object())
-        return badMember ("stream_options", "must be an object");
+    if (const auto* options = findMember (body, "stream_options");
+        options != nullptr && ! options->is_object())
+        return memberProblem ("stream_options", "must be an object");
 
     return {};
 }
@@ -76,7 +78,7 @@
 {
     for (const auto* name : { "max_tokens", "max_completion_tokens" })
     {
-        const auto* value = find (body, name);
+        const auto* value = findMember (body, name);
 
         if (value == nullptr)
             continue;
@@ -85,7 +87,7 @@
         const auto number = value->to_number<std::uint32_t> (error);
 
         if (error || number == 0)
-            return badMember (name, "must be a whole number above 0");
+            return memberProblem (name, "must be a whole number above 0");
 
         target = number;
     }
@@ -109,10 +111,10 @@
     ChatRequest request;
     request.body = std::move (value.get_object());
 
-    const auto* model = find (request.body, "model");
+    const auto* model = findMember (request.body, "model");
 
     if (model == nullptr || ! model->is_string())
-        return badMember ("model", "must be a text");
+        return memberProblem ("model", "must be a text");
 
     request.model = std::string (model->get_string());
 
@@ -121,11 +123,11 @@
         if (problem)
             return *problem;
 
-    if (const auto* stream = find (request.body, "stream"))
+    if (const auto* stream = findMember (request.body, "stream"))
         request.stream = stream->get_bool();
 
-    if (const auto* options = find (request.body, "stream_options"))
-        if (const auto* usage = find (options->get_object(), "include_usage"))
+    if (const auto* options = findMember (request.body, "stream_options"))
+        if (const auto* usage = findMember (options->get_object(), "include_usage"))
             request.includeUsage = usage->is_bool() && usage->get_bool();
 
     return request;
@@ -134,7 +136,7 @@
 auto promptText (const json::object& body) -> std::string
 {
     std::string text;
-    const auto* messages = find (body, "messages");
+    const auto* messages = findMember (body, "messages");
 
     if (messages == nullptr || ! messages->is_array())
         return text;
@@ -142,12 +144,12 @@
     for (const auto& message : messages->get_array())
     {
         const auto& object = message.get_object();
-        const auto* role = find (object, "role");
+        const auto* role = findMember (object, "role");
         text += "\n<|";
         text += role != nullptr && role->is_string() ? std::string_view (role->get_string()) : "";
         text += "|> ";
 
-        if (const auto* content = find (object, "content"))
+        if (const auto* content = findMember (object, "content"))
             appendContent (text, *content);
     }
 
--- a/modules/snowrudder_ctl/command/AdminClient.cpp
+++ b/modules/snowrudder_ctl/command/AdminClient.cpp
@@ -11,8 +11,8 @@
 {
 
 /** Longer than the API waits for routers to hold an edit. */
-constexpr auto answerTime = 20s;
-constexpr auto connectTime = 2s;
+constexpr auto responseTimeout = 20s;
+constexpr auto connectTimeout = 2s;
 
 } // namespace
 
@@ -24,7 +24,7 @@
 auto AdminClient::call (http::verb method,
                         const std::string& target,
                         const std::string& body,
-                        const std::vector<std::pair<std::string, std::string>>& headers) -> AdminAnswer
+                        const std::vector<std::pair<std::string, std::string>>& headers) -> AdminResponse
 {
     auto request = makeRequest (method, target, body);
     request.set (http::field::authorization, "Bearer " + operatorKey);
@@ -40,7 +40,7 @@
         loop,
         [&]() -> Task<void>
         {
-            const CallTimeouts timeouts { connectTime, answerTime, answerTime };
+            const CallTimeouts timeouts { connectTimeout, responseTimeout, responseTimeout };
             got = co_await callOnce (pool, endpoint, std::move (request), timeouts);
             loop.stop();
         },
@@ -48,8 +48,8 @@
     loop.run();
 
     boost::system::error_code unreadable;
-    AdminAnswer answer { got.error, got.status, json::parse (got.body, unreadable) };
-    return answer;
+    AdminResponse response { got.error, got.status, json::parse (got.body, unreadable) };
+    return response;
 }
 
 auto readKeyFile (const std::string& file) -> std::string
--- a/modules/snowrudder_ctl/command/AdminClient.h
+++ b/modules/snowrudder_ctl/command/AdminClient.h
@@ -12,7 +12,7 @@
 {
 
 /** An answer of the administration API. */
-struct AdminAnswer
+struct AdminResponse
 {
     std::error_code error;
     unsigned status = 0;
@@ -32,7 +32,7 @@
     auto call (http::verb method,
                const std::string& target,
                const std::string& body = {},
-               const std::vector<std::pair<std::string, std::string>>& headers = {}) -> AdminAnswer;
+               const std::vector<std::pair<std::string, std::string>>& headers = {}) -> AdminResponse;
 
 private:
     tcp::endpoint endpoint;
--- a/modules/snowrudder_ctl/command/Commands.cpp
+++ b/modules/snowrudder_ctl/command/Commands.cpp
@@ -23,7 +23,7 @@
     std::fputs (text.c_str(), stdout);
 }
 
-auto complain (const std::string& text) -> void
+auto printError (const std::string& text) -> void
 {
     std::fprintf (stderr, "snowrudderctl: %s\n", text.c_str());
 }
@@ -55,52 +55,53 @@
 {
     if (list.is_array())
         for (const auto& entry : list.get_array())
-            complain (textOf (entry));
+            printError (textOf (entry));
 }
 
 /** Tells why the API did not do what was asked. */
-auto explainFailure (const AdminAnswer& answer) -> ExitCode
+auto printFailure (const AdminResponse& response) -> ExitCode
 {
-    if (answer.error)
+    if (response.error)
     {
-        complain ("the administration API can't be reached: " + answer.error.message());
+        printError ("the administration API can't be reached: " + response.error.message());
         return ExitCode::unavailable;
     }
 
-    const auto kind = textOf (memberIn (answer.body, "kind"));
-    const auto detail = memberIn (answer.body, "detail");
-    const auto title = memberIn (answer.body, "title");
-    complain (kind + ": " + textOf (detail.is_null() ? title : detail));
-    printList (memberIn (answer.body, "errors"));
+    const auto kind = textOf (memberIn (response.body, "kind"));
+    const auto detail = memberIn (response.body, "detail");
+    const auto title = memberIn (response.body, "title");
+    printError (kind + ": " + textOf (detail.is_null() ? title : detail));
+    printList (memberIn (response.body, "errors"));
 
     if (kind == toString (ErrorKind::editConflict))
     {
-        complain ("the tree is at revision " + json::serialize (memberIn (answer.body, "revision")) + " now");
-        printChanges (memberIn (answer.body, "changes"));
+        printError ("the tree is at revision " + json::serialize (memberIn (response.body, "revision")) +
+                    " now");
+        printChanges (memberIn (response.body, "changes"));
     }
 
     if (kind == toString (ErrorKind::editUnknown))
-        complain ("ask again with --edit-id " + textOf (memberIn (answer.body, "edit_id")) +
-                  " and the same --revision");
+        printError ("ask again with --edit-id " + textOf (memberIn (response.body, "edit_id")) +
+                    " and the same --revision");
 
     return ExitCode::failed;
 }
 
 /** Prints an answer as it came, or as a function makes text of it. */
-auto show (const CommandInput& input,
-           const AdminAnswer& answer,
-           const std::function<auto(const json::value&)->void>& printText) -> ExitCode
+auto printResponse (const CommandInput& input,
+                    const AdminResponse& response,
+                    const std::function<auto(const json::value&)->void>& printText) -> ExitCode
 {
-    if (input.asJson && ! answer.error)
+    if (input.asJson && ! response.error)
     {
-        print (prettyJson (answer.body));
-        return answer.isGood() ? ExitCode::success : ExitCode::failed;
+        print (prettyJson (response.body));
+        return response.isGood() ? ExitCode::success : ExitCode::failed;
     }
 
-    if (! answer.isGood())
-        return explainFailure (answer);
+    if (! response.isGood())
+        return printFailure (response);
 
-    printText (answer.body);
+    printText (response.body);
     return ExitCode::success;
 }
 
@@ -118,7 +119,7 @@
     if (stream)
         return text.str();
 
-    complain (file + ": can't be read");
+    printError (file + ": can't be read");
     return {};
 }
 
@@ -146,12 +147,12 @@
     if (! input.revision.empty())
         return input.revision;
 
-    const auto answer = client.call (http::verb::get, settingsTarget);
+    const auto response = client.call (http::verb::get, settingsTarget);
 
-    if (answer.isGood())
-        return json::serialize (memberIn (answer.body, "revision"));
+    if (response.isGood())
+        return json::serialize (memberIn (response.body, "revision"));
 
-    explainFailure (answer);
+    printFailure (response);
     return {};
 }
 
@@ -164,7 +165,7 @@
     // With a newer revision an edit that is stored already, and followed by others, would be stored once more.
     if (! input.editId.empty() && input.revision.empty())
     {
-        complain ("--edit-id needs the --revision that the edit was first asked for with");
+        printError ("--edit-id needs the --revision that the edit was first asked for with");
         return ExitCode::usage;
     }
 
@@ -178,36 +179,36 @@
     if (! input.editId.empty())
         headers.emplace_back ("Snowrudder-Edit-Id", input.editId);
 
-    const auto answer = client.call (method, targetOf (path), body, headers);
-    constexpr auto onlyStored = 202U;
-    const auto code = show (input, answer, printEdit);
-    return answer.status == onlyStored ? ExitCode::failed : code;
+    const auto response = client.call (method, targetOf (path), body, headers);
+    constexpr auto storedNotAcceptedStatus = 202U;
+    const auto code = printResponse (input, response, printEdit);
+    return response.status == storedNotAcceptedStatus ? ExitCode::failed : code;
 }
 
 auto get (AdminClient& client, const CommandInput& input) -> ExitCode
 {
     const auto path = input.words.size() > 1 ? input.words[1] : "";
-    return show (input, client.call (http::verb::get, targetOf (path)),
-                 [] (const json::value& body)
-                 {
-                     print ("// revision " + json::serialize (memberIn (body, "revision")) + "\n");
-                     print (prettyJson (memberIn (body, "value")));
-                 });
+    return printResponse (input, client.call (http::verb::get, targetOf (path)),
+                          [] (const json::value& body)
+                          {
+                              print ("// revision " + json::serialize (memberIn (body, "revision")) + "\n");
+                              print (prettyJson (memberIn (body, "value")));
+                          });
 }
 
 auto explain (AdminClient& client, const CommandInput& input) -> ExitCode
 {
-    const auto answer = client.call (http::verb::get, targetOf (input.words[1]) + "?effective=true");
-    return show (input, answer,
-                 [] (const json::value& body)
-                 {
-                     const auto policy = memberIn (body, "effective");
-
-                     for (const auto& member : policy.as_object())
-                         std::printf ("%-22s %-24s from %s\n", std::string (member.key()).c_str(),
-                                      textOf (memberIn (member.value(), "value")).c_str(),
-                                      textOf (memberIn (member.value(), "from")).c_str());
-                 });
+    const auto response = client.call (http::verb::get, targetOf (input.words[1]) + "?effective=true");
+    return printResponse (input, response,
+                          [] (const json::value& body)
+                          {
+                              const auto policy = memberIn (body, "effective");
+
+                              for (const auto& member : policy.as_object())
+                                  std::printf ("%-22s %-24s from %s\n", std::string (member.key()).c_str(),
+                                               textOf (memberIn (member.value(), "value")).c_str(),
+                                               textOf (memberIn (member.value(), "from")).c_str());
+                          });
 }
 
 auto set (AdminClient& client, const CommandInput& input) -> ExitCode
@@ -227,14 +228,15 @@
     if (! text)
         return ExitCode::settings;
 
-    const auto answer = client.call (http::verb::post, "/v1/settings:check", *text);
-    const auto valid = memberIn (answer.body, "valid");
-    const auto code = show (input, answer,
-                            [&] (const json::value& body)
-                            {
-                                printList (memberIn (body, "errors"));
-                                print (valid.is_bool() && valid.get_bool() ? "valid\n" : "not valid\n");
-                            });
+    const auto response = client.call (http::verb::post, "/v1/settings:check", *text);
+    const auto valid = memberIn (response.body, "valid");
+    const auto code =
+        printResponse (input, response,
+                       [&] (const json::value& body)
+                       {
+                           printList (memberIn (body, "errors"));
+                           print (valid.is_bool() && valid.get_bool() ? "valid\n" : "not valid\n");
+                       });
     const auto isValid = valid.is_bool() && valid.get_bool();
     return code == ExitCode::success && ! isValid ? ExitCode::failed : code;
 }
@@ -246,19 +248,19 @@
 
     if (! wanted)
     {
-        complain (input.words[1] + ": is not JSON");
+        printError (input.words[1] + ": is not JSON");
         return ExitCode::settings;
     }
 
-    return show (input, client.call (http::verb::get, settingsTarget),
-                 [&] (const json::value& body)
-                 {
-                     const auto changes = diffTrees (memberIn (body, "value"), *wanted);
+    return printResponse (input, client.call (http::verb::get, settingsTarget),
+                          [&] (const json::value& body)
+                          {
+                              const auto changes = diffTrees (memberIn (body, "value"), *wanted);
 
-                     for (const auto& change : changes)
-                         print (change.path + ": " + json::serialize (change.before) + " -> " +
-                                json::serialize (change.after) + "\n");
-                 });
+                              for (const auto& change : changes)
+                                  print (change.path + ": " + json::serialize (change.before) + " -> " +
+                                         json::serialize (change.after) + "\n");
+                          });
 }
 
 auto apply (AdminClient& client, const CommandInput& input) -> ExitCode
@@ -269,20 +271,20 @@
 
 auto history (AdminClient& client, const CommandInput& input) -> ExitCode
 {
-    return show (input, client.call (http::verb::get, "/v1/settings/history"),
-                 [] (const json::value& body)
-                 {
-                     const auto revisions = memberIn (body, "revisions");
-
-                     for (const auto& entry : revisions.as_array())
-                     {
-                         const auto mark = memberIn (entry, "edit");
-                         const auto author = memberIn (mark, "author");
-                         print ("revision " + json::serialize (memberIn (entry, "revision")) + "  " +
-                                (author.is_null() ? "" : "by " + textOf (author)) + "\n");
-                         printChanges (memberIn (entry, "changes"));
-                     }
-                 });
+    return printResponse (input, client.call (http::verb::get, "/v1/settings/history"),
+                          [] (const json::value& body)
+                          {
+                              const auto revisions = memberIn (body, "revisions");
+
+                              for (const auto& entry : revisions.as_array())
+                              {
+                                  const auto mark = memberIn (entry, "edit");
+                                  const auto author = memberIn (mark, "author");
+                                  print ("revision " + json::serialize (memberIn (entry, "revision")) + "  " +
+                                         (author.is_null() ? "" : "by " + textOf (author)) + "\n");
+                                  printChanges (memberIn (entry, "changes"));
+                              }
+                          });
 }
 
 auto undo (AdminClient& client, const CommandInput& input) -> ExitCode
@@ -290,7 +292,7 @@
     const auto earlier = client.call (http::verb::get, "/v1/settings/history/" + input.words[1]);
 
     if (! earlier.isGood())
-        return explainFailure (earlier);
+        return printFailure (earlier);
 
     return edit (client, input, http::verb::put, "", json::serialize (memberIn (earlier.body, "value")));
 }
@@ -321,14 +323,14 @@
                          textOf (memberIn (router, "open_requests")).c_str());
         }
     };
-    return show (input, client.call (http::verb::get, "/v1/status"), printRouters);
+    return printResponse (input, client.call (http::verb::get, "/v1/status"), printRouters);
 }
 
 struct Command
 {
     std::function<auto(AdminClient&, const CommandInput&)->ExitCode> run;
-    std::size_t fewestWords = 1;
-    std::size_t mostWords = 1;
+    std::size_t minArguments = 1;
+    std::size_t maxArguments = 1;
 };
 
 auto allCommands() -> const std::map<std::string, Command>&
@@ -350,15 +352,15 @@
 
     if (found == allCommands().end())
     {
-        complain ("no such command (see --help)");
+        printError ("no such command (see --help)");
         return ExitCode::usage;
     }
 
     const auto& command = found->second;
 
-    if (input.words.size() < command.fewestWords || input.words.size() > command.mostWords)
+    if (input.words.size() < command.minArguments || input.words.size() > command.maxArguments)
     {
-        complain ("the command \"" + found->first + "\" takes other arguments (see --help)");
+        printError ("the command \"" + found->first + "\" takes other arguments (see --help)");
         return ExitCode::usage;
     }
 
--- a/modules/snowrudder_fakes/engine/FakeEngine.cpp
+++ b/modules/snowrudder_fakes/engine/FakeEngine.cpp
@@ -357,7 +357,7 @@
     }
 
     exchange.stopWatching();
-    AnswerHead head;
+    CompletionMetadata head;
     head.id = settings.name();
     head.model = settings.model();
     const ChatWriter writer (head);
--- a/modules/snowrudder_platform/client/PlatformClient.cpp
+++ b/modules/snowrudder_platform/client/PlatformClient.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto usualTimeout = 2s;
+constexpr auto defaultTimeout = 2s;
 
 auto readStored (const json::object& object) -> StoredValue
 {
@@ -17,24 +17,24 @@
 }
 
 /** What a write's answer, or the lack of one, proves. */
-auto writeOutcome (const SimpleAnswer& answer) -> WriteOutcome
+auto writeOutcome (const SimpleAnswer& response) -> WriteOutcome
 {
-    if (answer.isGood())
+    if (response.isGood())
         return WriteOutcome::done;
 
-    if (answer.stage == CallStage::planned)
+    if (response.stage == CallStage::planned)
         return WriteOutcome::refused;
 
-    if (answer.error)
+    if (response.error)
         return WriteOutcome::unknown;
 
     constexpr auto conflictStatus = 409U;
     constexpr auto firstServerError = 500U;
 
-    if (answer.status == conflictStatus)
+    if (response.status == conflictStatus)
         return WriteOutcome::conflict;
 
-    return answer.status >= firstServerError ? WriteOutcome::unknown : WriteOutcome::refused;
+    return response.status >= firstServerError ? WriteOutcome::unknown : WriteOutcome::refused;
 }
 
 } // namespace
@@ -54,21 +54,22 @@
     timeouts.idle = timeout;
 
     auto text = method == http::verb::get ? std::string() : json::serialize (body);
-    auto answer =
+    auto response =
         co_await callOnce (pool, endpoint, makeRequest (method, target, std::move (text)), timeouts);
 
-    if (! answer.isGood())
+    if (! response.isGood())
         metrics.counter ("snowrudder_platform_failed_calls_total", label).add();
 
-    co_return answer;
+    co_return response;
 }
 
 auto PlatformClient::read (std::string key, std::string_view purpose) -> Task<std::optional<StoredValue>>
 {
     json::object body;
     body["key"] = key;
-    const auto answer = co_await call (http::verb::post, "/kv/get", std::move (body), purpose, usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto response =
+        co_await call (http::verb::post, "/kv/get", std::move (body), purpose, defaultTimeout);
+    const auto object = response.isGood() ? parseObject (response.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -81,8 +82,9 @@
 {
     json::object body;
     body["prefix"] = prefix;
-    const auto answer = co_await call (http::verb::post, "/kv/list", std::move (body), purpose, usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto response =
+        co_await call (http::verb::post, "/kv/list", std::move (body), purpose, defaultTimeout);
+    const auto object = response.isGood() ? parseObject (response.body) : std::nullopt;
     const auto* values = object ? object->if_contains ("values") : nullptr;
 
     if (values == nullptr || ! values->is_array())
@@ -108,11 +110,12 @@
     body["expected"] = expected;
     body["value"] = value;
     body["lease"] = lease;
-    const auto answer = co_await call (http::verb::post, "/kv/swap", std::move (body), purpose, usualTimeout);
-    const auto object = parseObject (answer.body);
+    const auto response =
+        co_await call (http::verb::post, "/kv/swap", std::move (body), purpose, defaultTimeout);
+    const auto object = parseObject (response.body);
 
     WriteResult result;
-    result.outcome = writeOutcome (answer);
+    result.outcome = writeOutcome (response);
     result.version = object ? wholeNumberIn (*object, "version") : 0;
     co_return result;
 }
@@ -124,9 +127,9 @@
     body["prefix"] = prefix;
     body["after"] = after;
     body["wait_milliseconds"] = std::chrono::duration_cast<std::chrono::milliseconds> (wait).count();
-    const auto answer =
-        co_await call (http::verb::post, "/kv/watch", std::move (body), purpose, wait + usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto response =
+        co_await call (http::verb::post, "/kv/watch", std::move (body), purpose, wait + defaultTimeout);
+    const auto object = response.isGood() ? parseObject (response.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -138,9 +141,9 @@
 {
     json::object body;
     body["milliseconds"] = std::chrono::duration_cast<std::chrono::milliseconds> (length).count();
-    const auto answer =
-        co_await call (http::verb::post, "/lease/grant", std::move (body), "lease", usualTimeout);
-    const auto object = answer.isGood() ? parseObject (answer.body) : std::nullopt;
+    const auto response =
+        co_await call (http::verb::post, "/lease/grant", std::move (body), "lease", defaultTimeout);
+    const auto object = response.isGood() ? parseObject (response.body) : std::nullopt;
 
     if (! object)
         co_return std::nullopt;
@@ -152,28 +155,28 @@
 {
     json::object body;
     body["lease"] = lease;
-    const auto answer =
-        co_await call (http::verb::post, "/lease/renew", std::move (body), "lease", usualTimeout);
-    co_return writeOutcome (answer);
+    const auto response =
+        co_await call (http::verb::post, "/lease/renew", std::move (body), "lease", defaultTimeout);
+    co_return writeOutcome (response);
 }
 
 auto PlatformClient::endLease (std::uint64_t lease) -> Task<WriteOutcome>
 {
     json::object body;
     body["lease"] = lease;
-    const auto answer =
-        co_await call (http::verb::post, "/lease/end", std::move (body), "lease", usualTimeout);
-    co_return writeOutcome (answer);
+    const auto response =
+        co_await call (http::verb::post, "/lease/end", std::move (body), "lease", defaultTimeout);
+    co_return writeOutcome (response);
 }
 
 auto PlatformClient::vmList() -> Task<std::optional<std::string>>
 {
-    auto answer = co_await call (http::verb::get, "/vms", {}, "vm_list", usualTimeout);
+    auto response = co_await call (http::verb::get, "/vms", {}, "vm_list", defaultTimeout);
 
-    if (! answer.isGood())
+    if (! response.isGood())
         co_return std::nullopt;
 
-    co_return std::move (answer.body);
+    co_return std::move (response.body);
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_requests/record/RequestRecord.cpp
+++ b/modules/snowrudder_requests/record/RequestRecord.cpp
@@ -7,7 +7,8 @@
 
 RequestRecord::RequestRecord (RequestIdentity requestIdentity)
     : about (std::move (requestIdentity)),
-      writer (AnswerHead { toString (about.id), about.model, about.created }), unreadSince (about.accepted)
+      writer (CompletionMetadata { toString (about.id), about.model, about.created }),
+      unreadSince (about.accepted)
 {
 }
 
--- a/modules/snowrudder_settings/edit/EffectivePolicy.cpp
+++ b/modules/snowrudder_settings/edit/EffectivePolicy.cpp
@@ -12,16 +12,17 @@
 namespace
 {
 
-constexpr auto levelName = "accounts";
-constexpr auto policyName = "policy";
+constexpr auto accountsMember = "accounts";
+constexpr auto policyMember = "policy";
 
 /** @returns the accounts' own names of a path that may name the levels between them too. */
 auto accountNames (const TreePath& path) -> TreePath
 {
     TreePath names;
-    const auto isFull = ! path.empty() && path.front() == levelName && path.size() % 2 == 0;
+    const auto hasLevelNames = ! path.empty() && path.front() == accountsMember && path.size() % 2 == 0;
 
-    for (auto index = std::size_t { isFull ? 1U : 0U }; index < path.size(); index += isFull ? 2 : 1)
+    for (auto index = std::size_t { hasLevelNames ? 1U : 0U }; index < path.size();
+         index += hasLevelNames ? 2 : 1)
         names.push_back (path[index]);
 
     return names;
@@ -40,10 +41,10 @@
 }
 
 /** Lets a level's own policy override what it inherits. */
-auto overrideBy (std::vector<EffectiveValue>& values, const json::value& level, const std::string& path)
+auto applyOverrides (std::vector<EffectiveValue>& values, const json::value& level, const std::string& path)
     -> void
 {
-    const auto* policy = valueAt (level, { policyName });
+    const auto* policy = valueAt (level, { policyMember });
 
     if (policy == nullptr || ! policy->is_object())
         return;
@@ -57,7 +58,7 @@
             continue;
 
         entry.value = *own;
-        entry.from = path.empty() ? policyName : path + "/" + policyName;
+        entry.sourcePath = path.empty() ? policyMember : path + "/" + policyMember;
     }
 }
 
@@ -72,19 +73,19 @@
         return {};
 
     auto values = defaultValues();
-    overrideBy (values, tree, "");
+    applyOverrides (values, tree, "");
     const auto* level = &tree;
     std::string path;
 
     for (const auto& name : names)
     {
-        level = valueAt (*level, { levelName, name });
+        level = valueAt (*level, { accountsMember, name });
 
         if (level == nullptr)
             return {};
 
-        path += (path.empty() ? "" : "/") + std::string (levelName) + "/" + name;
-        overrideBy (values, *level, path);
+        path += (path.empty() ? "" : "/") + std::string (accountsMember) + "/" + name;
+        applyOverrides (values, *level, path);
     }
 
     return values;
--- a/modules/snowrudder_settings/edit/EffectivePolicy.h
+++ b/modules/snowrudder_settings/edit/EffectivePolicy.h
@@ -15,7 +15,7 @@
     std::string field;
     boost::json::value value;
     /** The level's path, such as `accounts/city/policy`; `default` where no level gives it. */
-    std::string from;
+    std::string sourcePath;
 };
 
 /** Works out what holds for a client account, level by level.
--- a/modules/snowrudder_settings/edit/TreeEdit.cpp
+++ b/modules/snowrudder_settings/edit/TreeEdit.cpp
@@ -9,7 +9,7 @@
 {
 
 /** The member that names the edit; operators don't edit it. */
-constexpr auto markName = "edit";
+constexpr auto editMarkMember = "edit";
 
 auto mergeInto (json::value& target, const json::value& patch) -> void
 {
@@ -33,20 +33,20 @@
     }
 }
 
-auto joined (const std::string& path, std::string_view name) -> std::string
+auto joinPath (const std::string& path, std::string_view name) -> std::string
 {
     return path.empty() ? std::string (name) : path + "/" + std::string (name);
 }
 
-auto nameOf (const json::key_value_pair& member) -> std::string_view
+auto memberName (const json::key_value_pair& member) -> std::string_view
 {
     return { member.key().data(), member.key().size() };
 }
 
-auto addChanges (const json::value& before,
-                 const json::value& after,
-                 const std::string& path,
-                 std::vector<TreeChange>& changes) -> void
+auto collectChanges (const json::value& before,
+                     const json::value& after,
+                     const std::string& path,
+                     std::vector<TreeChange>& changes) -> void
 {
     if (before == after)
         return;
@@ -57,30 +57,30 @@
         return;
     }
 
-    const json::value none;
+    const json::value nullValue;
 
     for (const auto& member : before.get_object())
     {
         const auto* other = after.get_object().if_contains (member.key());
-        addChanges (member.value(), other == nullptr ? none : *other, joined (path, nameOf (member)),
-                    changes);
+        collectChanges (member.value(), other == nullptr ? nullValue : *other,
+                        joinPath (path, memberName (member)), changes);
     }
 
     for (const auto& member : after.get_object())
         if (! before.get_object().contains (member.key()))
-            addChanges (none, member.value(), joined (path, nameOf (member)), changes);
+            collectChanges (nullValue, member.value(), joinPath (path, memberName (member)), changes);
 }
 
-auto withoutMark (json::value tree) -> json::value
+auto withoutEditMark (json::value tree) -> json::value
 {
     if (tree.is_object())
-        tree.get_object().erase (markName);
+        tree.get_object().erase (editMarkMember);
 
     return tree;
 }
 
 /** @returns the object that holds the value at a path, made where it is not there; or nullptr. */
-auto holderOf (json::value& tree, const TreePath& path, bool make) -> json::object*
+auto parentObject (json::value& tree, const TreePath& path, bool createMissing) -> json::object*
 {
     auto* level = &tree;
 
@@ -91,7 +91,7 @@
 
         auto& object = level->get_object();
 
-        if (! object.contains (path[index]) && ! make)
+        if (! object.contains (path[index]) && ! createMissing)
             return nullptr;
 
         level = &object[path[index]];
@@ -114,13 +114,13 @@
     }
 
     text += "{\n";
-    auto left = value.get_object().size();
+    auto remaining = value.get_object().size();
 
     for (const auto& member : value.get_object())
     {
         text += std::string ((depth + 1) * indent, ' ') + json::serialize (member.key()) + ": ";
         writePretty (text, member.value(), depth + 1);
-        text += --left > 0 ? ",\n" : "\n";
+        text += --remaining > 0 ? ",\n" : "\n";
     }
 
     text += std::string (depth * indent, ' ') + "}";
@@ -165,7 +165,7 @@
 
 auto applyEdit (json::value& tree, const TreeEdit& edit) -> std::optional<std::string>
 {
-    if (! edit.path.empty() && edit.path.front() == markName)
+    if (! edit.path.empty() && edit.path.front() == editMarkMember)
         return "the mark of the edit is not for operators to change";
 
     if (edit.path.empty())
@@ -184,16 +184,16 @@
         return {};
     }
 
-    auto* holder = holderOf (tree, edit.path, edit.action != EditAction::remove);
+    auto* parent = parentObject (tree, edit.path, edit.action != EditAction::remove);
 
-    if (holder == nullptr)
+    if (parent == nullptr)
         return "a level above the path is not there, or is no object";
 
     if (edit.action == EditAction::replace)
-        (*holder)[edit.path.back()] = edit.value;
+        (*parent)[edit.path.back()] = edit.value;
     else if (edit.action == EditAction::merge)
-        mergeInto ((*holder)[edit.path.back()], edit.value);
-    else if (holder->erase (edit.path.back()) == 0)
+        mergeInto ((*parent)[edit.path.back()], edit.value);
+    else if (parent->erase (edit.path.back()) == 0)
         return "there is nothing at the path";
 
     return {};
@@ -202,7 +202,7 @@
 auto diffTrees (const json::value& before, const json::value& after) -> std::vector<TreeChange>
 {
     std::vector<TreeChange> changes;
-    addChanges (withoutMark (before), withoutMark (after), "", changes);
+    collectChanges (withoutEditMark (before), withoutEditMark (after), "", changes);
     return changes;
 }
 
--- a/modules/snowrudder_settings/reading/LineIndex.cpp
+++ b/modules/snowrudder_settings/reading/LineIndex.cpp
@@ -45,13 +45,13 @@
     }
 
     auto on_string_part (json::string_view, std::size_t, json::error_code&) -> bool { return true; }
-    auto on_string (json::string_view, std::size_t, json::error_code&) -> bool { return note(); }
+    auto on_string (json::string_view, std::size_t, json::error_code&) -> bool { return recordValue(); }
     auto on_number_part (json::string_view, json::error_code&) -> bool { return true; }
-    auto on_int64 (std::int64_t, json::string_view, json::error_code&) -> bool { return note(); }
-    auto on_uint64 (std::uint64_t, json::string_view, json::error_code&) -> bool { return note(); }
-    auto on_double (double, json::string_view, json::error_code&) -> bool { return note(); }
-    auto on_bool (bool, json::error_code&) -> bool { return note(); }
-    auto on_null (json::error_code&) -> bool { return note(); }
+    auto on_int64 (std::int64_t, json::string_view, json::error_code&) -> bool { return recordValue(); }
+    auto on_uint64 (std::uint64_t, json::string_view, json::error_code&) -> bool { return recordValue(); }
+    auto on_double (double, json::string_view, json::error_code&) -> bool { return recordValue(); }
+    auto on_bool (bool, json::error_code&) -> bool { return recordValue(); }
+    auto on_null (json::error_code&) -> bool { return recordValue(); }
     auto on_comment_part (json::string_view, json::error_code&) -> bool { return true; }
     auto on_comment (json::string_view, json::error_code&) -> bool { return true; }
     // NOLINTEND(readability-identifier-naming)
@@ -66,7 +66,7 @@
         std::size_t elements = 0;
     };
 
-    auto takePath() -> std::string
+    auto nextPath() -> std::string
     {
         if (levels.empty())
             return {};
@@ -76,22 +76,22 @@
                             : memberPath (level.path, pendingKey);
     }
 
-    auto note() -> bool
+    auto recordValue() -> bool
     {
-        noteAt (takePath());
+        recordLine (nextPath());
         return true;
     }
 
-    auto noteAt (const std::string& path) -> void
+    auto recordLine (const std::string& path) -> void
     {
-        if (! result.lines.emplace (path, result.line).second && result.repeatedPath.empty())
-            result.repeatedPath = path;
+        if (! result.lines.emplace (path, result.line).second && result.duplicatePath.empty())
+            result.duplicatePath = path;
     }
 
     auto open (bool isList) -> bool
     {
-        const auto path = takePath();
-        noteAt (path);
+        const auto path = nextPath();
+        recordLine (path);
         levels.push_back ({ path, isList });
         return true;
     }
--- a/modules/snowrudder_settings/reading/LineIndex.h
+++ b/modules/snowrudder_settings/reading/LineIndex.h
@@ -20,7 +20,7 @@
     /** The line of the error, or the document's last line. */
     std::size_t line = 0;
     /** A member's path given twice in one object; empty when there is none. */
-    std::string repeatedPath;
+    std::string duplicatePath;
 };
 
 /** Finds the line of each value. Comments and nothing else beyond JSON are allowed.
--- a/modules/snowrudder_settings/reading/MessageReader.cpp
+++ b/modules/snowrudder_settings/reading/MessageReader.cpp
@@ -25,10 +25,10 @@
 {
 
 /** One walk over a document, beside the message that it fills. */
-class Reading
+class DocumentReader
 {
 public:
-    Reading (std::string_view file, const LineIndex& lines) : fileName (file), lineIndex (lines) {}
+    DocumentReader (std::string_view file, const LineIndex& lines) : fileName (file), lineIndex (lines) {}
 
     auto readObject (const json::value& value, proto::Message& message, const std::string& path) -> void
     {
@@ -43,7 +43,7 @@
             const auto fieldPath = memberPath (path, std::string_view (name.data(), name.size()));
 
             if (field == nullptr)
-                addError (fieldPath, "is not a known setting" + knownNames (descriptor));
+                addError (fieldPath, "is not a known setting" + knownFieldNames (descriptor));
             else
                 readField (member, message, *field, fieldPath);
         }
@@ -63,7 +63,7 @@
             { fileName, found == lineIndex.end() ? 0 : found->second, path, std::move (message) });
     }
 
-    static auto knownNames (const proto::Descriptor& descriptor) -> std::string
+    static auto knownFieldNames (const proto::Descriptor& descriptor) -> std::string
     {
         std::string names;
 
@@ -100,7 +100,7 @@
             return readMap (value, message, field, path);
 
         if (! field.is_repeated())
-            return readOne (value, message, field, path);
+            return readValue (value, message, field, path);
 
         if (! value.is_array())
             return addError (path, "must be a list");
@@ -108,7 +108,7 @@
         auto position = std::size_t { 0 };
 
         for (const auto& element : value.get_array())
-            readOne (element, message, field, elementPath (path, position++));
+            readValue (element, message, field, elementPath (path, position++));
     }
 
     auto readMap (const json::value& value,
@@ -131,19 +131,19 @@
 
             auto& entry = *message.GetReflection()->AddMessage (&message, &field);
             entry.GetReflection()->SetString (&entry, entryType.map_key(), entryName);
-            readOne (member, entry, *entryType.map_value(), entryPath);
+            readValue (member, entry, *entryType.map_value(), entryPath);
         }
     }
 
-    auto readOne (const json::value& value,
-                  proto::Message& message,
-                  const Field& field,
-                  const std::string& path) -> void
+    auto readValue (const json::value& value,
+                    proto::Message& message,
+                    const Field& field,
+                    const std::string& path) -> void
     {
         switch (field.cpp_type())
         {
             case Field::CPPTYPE_MESSAGE:
-                return readObject (value, child (message, field), path);
+                return readObject (value, mutableChild (message, field), path);
             case Field::CPPTYPE_STRING:
                 return readString (value, message, field, path);
             case Field::CPPTYPE_BOOL:
@@ -155,7 +155,7 @@
         }
     }
 
-    static auto child (proto::Message& message, const Field& field) -> proto::Message&
+    static auto mutableChild (proto::Message& message, const Field& field) -> proto::Message&
     {
         const auto& reflection = *message.GetReflection();
         return field.is_repeated() ? *reflection.AddMessage (&message, &field)
@@ -257,12 +257,12 @@
         if (number > std::numeric_limits<std::uint32_t>::max())
             return addError (path, "is too large");
 
-        const auto whole = static_cast<std::uint32_t> (number);
+        const auto integer = static_cast<std::uint32_t> (number);
 
         if (field.is_repeated())
-            reflection.AddUInt32 (&message, &field, whole);
+            reflection.AddUInt32 (&message, &field, integer);
         else
-            reflection.SetUInt32 (&message, &field, whole);
+            reflection.SetUInt32 (&message, &field, integer);
     }
 
     std::string fileName;
@@ -298,8 +298,8 @@
     if (! index.error.empty())
         return { { std::string (file), index.line, "", "not valid JSON: " + index.error } };
 
-    if (! index.repeatedPath.empty())
-        return { { std::string (file), index.lines.find (index.repeatedPath)->second, index.repeatedPath,
+    if (! index.duplicatePath.empty())
+        return { { std::string (file), index.lines.find (index.duplicatePath)->second, index.duplicatePath,
                    "is given twice" } };
 
     json::parse_options options;
@@ -310,9 +310,9 @@
     if (error)
         return { { std::string (file), index.line, "", "not valid JSON: " + error.message() } };
 
-    Reading reading (file, index.lines);
-    reading.readObject (value, message, "");
-    return reading.errors;
+    DocumentReader reader (file, index.lines);
+    reader.readObject (value, message, "");
+    return reader.errors;
 }
 
 auto readMessageFile (const std::string& file, proto::Message& message) -> SettingsErrors
--- a/modules/snowrudder_settings/tree/TreeCheck.cpp
+++ b/modules/snowrudder_settings/tree/TreeCheck.cpp
@@ -14,10 +14,10 @@
 constexpr auto sha256Digits = std::size_t { 64 };
 
 /** One walk over the tree. */
-class Check
+class TreeValidator
 {
 public:
-    Check (const schema::FleetSettings& fleetSettings, std::string_view fileName)
+    TreeValidator (const schema::FleetSettings& fleetSettings, std::string_view fileName)
         : tree (fleetSettings), file (fileName)
     {
     }
@@ -85,7 +85,7 @@
 
 auto checkTree (const schema::FleetSettings& tree, std::string_view file) -> SettingsErrors
 {
-    return Check (tree, file).run();
+    return TreeValidator (tree, file).run();
 }
 
 } // namespace snowrudder
--- a/tests/random/SettingsWorld.cpp
+++ b/tests/random/SettingsWorld.cpp
@@ -77,7 +77,7 @@
     ++person.edits;
     person.asked = 0;
     person.editId = person.name + "-" + std::to_string (person.edits);
-    person.knownRevision = store.read (treeStoreKey).version;
+    person.baseRevision = store.read (treeStoreKey).version;
     ask (person);
 }
 
@@ -89,7 +89,7 @@
     wanted.author = person.name;
     wanted.edit.path = { "accounts", "city", "policy", "weight" };
     wanted.edit.value = static_cast<std::int64_t> (person.edits);
-    wanted.knownRevision = person.knownRevision;
+    wanted.baseRevision = person.baseRevision;
     person.procedure.emplace (std::move (wanted));
     time.after (callTime, [this, &person] { step (person); });
 }
@@ -109,12 +109,12 @@
     time.after (time.drawTime (callTime, callTime * 20),
                 [this, &person, answer]
                 {
-                    person.procedure->take (answer);
+                    person.procedure->handleResponse (answer);
                     step (person);
                 });
 }
 
-auto SettingsWorld::makeCall (const StoreCall& call) -> StoreAnswer
+auto SettingsWorld::makeCall (const StoreCall& call) -> StoreResponse
 {
     if (down)
         return {};
@@ -122,7 +122,7 @@
     return call.value ? write (call) : read (call.key);
 }
 
-auto SettingsWorld::read (const std::string& key) -> StoreAnswer
+auto SettingsWorld::read (const std::string& key) -> StoreResponse
 {
     constexpr auto lostShare = 0.1;
 
@@ -130,7 +130,7 @@
         return {};
 
     const auto held = store.read (key);
-    StoreAnswer answer { WriteOutcome::done, { key, held.value, held.version, 0 } };
+    StoreResponse answer { WriteOutcome::done, { key, held.value, held.version, 0 } };
 
     // The edit's identifier is not read back.
     if (breakage == Breakage::readsNoMarks && key == treeStoreKey)
@@ -140,7 +140,7 @@
     return answer;
 }
 
-auto SettingsWorld::write (const StoreCall& call) -> StoreAnswer
+auto SettingsWorld::write (const StoreCall& call) -> StoreResponse
 {
     constexpr auto lostShare = 0.15;
     constexpr auto lateShare = 0.1;
@@ -156,7 +156,7 @@
     if (time.chance (lostShare))
         return {};
 
-    StoreAnswer answer;
+    StoreResponse answer;
     answer.outcome = version ? WriteOutcome::done : WriteOutcome::conflict;
     answer.value.version = version.value_or (0);
     return answer;
--- a/tests/random/SettingsWorld.h
+++ b/tests/random/SettingsWorld.h
@@ -35,7 +35,7 @@
         std::string name;
         std::size_t edits = 0;
         std::string editId;
-        std::uint64_t knownRevision = 0;
+        std::uint64_t baseRevision = 0;
         std::size_t asked = 0;
         std::optional<EditProcedure> procedure;
     };
@@ -43,9 +43,9 @@
     auto startEdit (Operator& person) -> void;
     auto ask (Operator& person) -> void;
     auto step (Operator& person) -> void;
-    auto makeCall (const StoreCall& call) -> StoreAnswer;
-    auto read (const std::string& key) -> StoreAnswer;
-    auto write (const StoreCall& call) -> StoreAnswer;
+    auto makeCall (const StoreCall& call) -> StoreResponse;
+    auto read (const std::string& key) -> StoreResponse;
+    auto write (const StoreCall& call) -> StoreResponse;
     auto apply (const StoreCall& call) -> std::optional<std::uint64_t>;
     auto noteHead (const std::string& text, std::uint64_t revision) -> void;
     auto finish (Operator& person, const EditResult& result) -> void;
--- a/tests/unit/SettingsTests.cpp
+++ b/tests/unit/SettingsTests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr auto goodRouter = R"({
+constexpr auto validRouterSettings = R"({
   // comments are allowed
   "node": { "name": "a", "vm": "b", "failure_domain": "c", "region": "d" },
   "listen": "127.0.0.1:1", "platform": "127.0.0.1:2", "node_secret": "s" /* here too */
@@ -36,24 +36,24 @@
 TEST_CASE ("settings with comments are read")
 {
     schema::RouterSettings settings;
-    REQUIRE (readMessage (goodRouter, "router.json", settings).empty());
+    REQUIRE (readMessage (validRouterSettings, "router.json", settings).empty());
     CHECK (settings.node().name() == "a");
     CHECK (settings.platform() == "127.0.0.1:2");
 }
 
 TEST_CASE ("settings errors name file, line and path")
 {
-    const auto unknown = errorsOf (replaced (goodRouter, "\"vm\"", "\"wm\""));
+    const auto unknown = errorsOf (replaced (validRouterSettings, "\"vm\"", "\"wm\""));
     REQUIRE (unknown.size() == 2);
     CHECK (unknown[0] ==
            "router.json:3: node.wm: is not a known setting (known: name, vm, failure_domain, region)");
     CHECK (unknown[1] == "router.json:3: node: lacks the setting \"vm\"");
 
-    const auto wrongType = errorsOf (replaced (goodRouter, "\"127.0.0.1:1\"", "17"));
+    const auto wrongType = errorsOf (replaced (validRouterSettings, "\"127.0.0.1:1\"", "17"));
     REQUIRE (wrongType.size() == 1);
     CHECK (wrongType[0] == "router.json:4: listen: must be a text in quotes");
 
-    const auto badEndpoint = errorsOf (replaced (goodRouter, "127.0.0.1:2", "localhost:2"));
+    const auto badEndpoint = errorsOf (replaced (validRouterSettings, "127.0.0.1:2", "localhost:2"));
     REQUIRE (badEndpoint.size() == 1);
     CHECK (badEndpoint[0] == "router.json:4: platform: must be IP-NUMBER:PORT");
 }
@@ -64,15 +64,15 @@
     REQUIRE (broken.size() == 1);
     CHECK (broken[0].starts_with ("router.json:3: not valid JSON"));
 
-    const auto behind = errorsOf (std::string (goodRouter) + "\n{}");
-    REQUIRE (behind.size() == 1);
-    CHECK (behind[0].starts_with ("router.json:6: not valid JSON"));
+    const auto trailing = errorsOf (std::string (validRouterSettings) + "\n{}");
+    REQUIRE (trailing.size() == 1);
+    CHECK (trailing[0].starts_with ("router.json:6: not valid JSON"));
 }
 
 TEST_CASE ("a setting given twice is refused")
 {
-    const auto twice =
-        errorsOf (replaced (goodRouter, "\"platform\"", "\"listen\": \"127.0.0.1:9\", \"platform\""));
+    const auto twice = errorsOf (
+        replaced (validRouterSettings, "\"platform\"", "\"listen\": \"127.0.0.1:9\", \"platform\""));
     REQUIRE (twice.size() == 1);
     CHECK (twice[0] == "router.json:4: listen: is given twice");
 }
@@ -81,7 +81,7 @@
 {
     for (const auto* workers : { "0", "65", "1.5", "-1", "true", "1e99" })
     {
-        const auto errors = errorsOf (replaced (goodRouter, "\"platform\"",
+        const auto errors = errorsOf (replaced (validRouterSettings, "\"platform\"",
                                                 std::string ("\"workers\": ") + workers + ", \"platform\""));
         INFO (workers);
         REQUIRE (errors.size() == 1);
