--- a/modules/snowrudder_settings/edit/EffectivePolicy.cpp
+++ b/modules/snowrudder_settings/edit/EffectivePolicy.cpp
@@ -15,7 +15,7 @@
 constexpr auto accountsMember = "accounts";
 constexpr auto policyMember = "policy";
 
-/** @returns the accounts' own names of a path that may name the levels between them too. */
+/** @returns the account names in a path of either form: `city/press` or `accounts/city/accounts/press`. */
 auto accountNames (const TreePath& path) -> TreePath
 {
     TreePath names;
@@ -40,7 +40,7 @@
              { "deadline_milliseconds", PolicyDefaults::deadline.count(), origin } };
 }
 
-/** Lets a level's own policy override what it inherits. */
+/** Overrides inherited values with those that a level's policy sets. */
 auto applyOverrides (std::vector<EffectiveValue>& values, const json::value& level, const std::string& path)
     -> void
 {
@@ -53,7 +53,7 @@
     {
         const auto* own = policy->get_object().if_contains (entry.field);
 
-        // An empty list of services overrides nothing; see overridePolicy().
+        // An empty list of services doesn't override the inherited one; see overridePolicy().
         if (own == nullptr || (own->is_array() && own->get_array().empty()))
             continue;
 
--- a/modules/snowrudder_settings/edit/EffectivePolicy.h
+++ b/modules/snowrudder_settings/edit/EffectivePolicy.h
@@ -8,21 +8,21 @@
 namespace snowrudder
 {
 
-/** One value that holds for a client account, and the level of the tree that gives it. */
+/** The effective value of one policy field of a client account, and the tree level that sets it. */
 struct EffectiveValue
 {
-    /** Of AccountPolicy. */
+    /** The field's name in AccountPolicy. */
     std::string field;
     boost::json::value value;
-    /** The level's path, such as `accounts/city/policy`; `default` where no level gives it. */
+    /** Path of the policy that sets the value, such as `accounts/city/policy`; `default` if none does. */
     std::string sourcePath;
 };
 
-/** Works out what holds for a client account, level by level.
+/** Computes the effective policy of a client account, from the top of the tree down to the account.
 
-    @param tree     the operators' tree
-    @param account  its path: `accounts/city/accounts/press`, or `city/press`
-    @returns        the values, or nothing when there is no such account
+    @param tree     the settings tree
+    @param account  the account's path: `accounts/city/accounts/press` or `city/press`
+    @returns        one entry for each policy field, or nothing if the account does not exist
 */
 auto effectivePolicy (const boost::json::value& tree, const TreePath& account)
     -> std::optional<std::vector<EffectiveValue>>;
--- a/modules/snowrudder_settings/edit/TreeEdit.cpp
+++ b/modules/snowrudder_settings/edit/TreeEdit.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** The member that names the edit; operators don't edit it. */
+/** The top-level member that holds the EditMark. Operators can't edit it. */
 constexpr auto editMarkMember = "edit";
 
 auto mergeInto (json::value& target, const json::value& patch) -> void
@@ -79,7 +79,10 @@
     return tree;
 }
 
-/** @returns the object that holds the value at a path, made where it is not there; or nullptr. */
+/** @returns the object that contains the last name of a path, or nullptr if a level is missing or not an object.
+
+    @param createMissing  whether missing levels are created
+*/
 auto parentObject (json::value& tree, const TreePath& path, bool createMissing) -> json::object*
 {
     auto* level = &tree;
--- a/modules/snowrudder_settings/edit/TreeEdit.h
+++ b/modules/snowrudder_settings/edit/TreeEdit.h
@@ -11,24 +11,24 @@
 namespace snowrudder
 {
 
-/** Names from the tree's top down, such as `accounts`, `city`, `policy`. */
+/** Member names from the root of the tree down, such as `accounts`, `city`, `policy`. */
 using TreePath = std::vector<std::string>;
 
-/** @returns the names of a path such as `accounts/city/policy`; empty names are left out. */
+/** Splits a path such as `accounts/city/policy` at each '/'. Empty names are left out. */
 auto parseTreePath (std::string_view text) -> TreePath;
 
 /** What an edit does to the value at its path. */
 enum class EditAction
 {
-    /** Puts a value in the place of what is there. */
+    /** Sets the value, replacing any existing one. */
     replace,
-    /** Merges an object into what is there; a member that is null is taken out (RFC 7396). */
+    /** Merges an object into the existing value; members that are null are removed (JSON Merge Patch, RFC 7396). */
     merge,
-    /** Takes the value out, so that it is inherited again. */
+    /** Removes the value, so that it is inherited again. */
     remove
 };
 
-/** One edit of the operators' tree. */
+/** One edit of the settings tree. */
 struct TreeEdit
 {
     EditAction action = EditAction::replace;
@@ -36,31 +36,34 @@
     boost::json::value value;
 };
 
-/** @returns the value at a path, or nullptr. */
+/** @returns the value at a path, or nullptr if there is none. */
 auto valueAt (const boost::json::value& tree, const TreePath& path) -> const boost::json::value*;
 
-/** Applies an edit. Levels above the path that are not there yet are made.
+/** Applies an edit. Levels missing above the path are created, except for EditAction::remove.
 
-    @returns nothing, or why it can't be applied; the tree is unchanged then
+    @returns nothing, or the reason why the edit can't be applied; the tree is unchanged then
 */
 auto applyEdit (boost::json::value& tree, const TreeEdit& edit) -> std::optional<std::string>;
 
-/** One value that differs between two trees. A value that is not there is null. */
+/** One value that differs between two trees. A missing value is null. */
 struct TreeChange
 {
-    /** Names joined by '/'. */
+    /** Member names joined by '/'. */
     std::string path;
     boost::json::value before;
     boost::json::value after;
 };
 
-/** @returns each member that differs, by path. Lists are compared as a whole; the mark of the edit is left out. */
+/** @returns every value that differs, with its path. Lists are compared as a whole; the EditMark is ignored. */
 auto diffTrees (const boost::json::value& before, const boost::json::value& after) -> std::vector<TreeChange>;
 
-/** @returns a tree's text as JSON, comments allowed, or nothing. */
+/** Parses JSON that may contain comments.
+
+    @returns the value, or nothing if the text is not valid
+*/
 auto parseTree (std::string_view text) -> std::optional<boost::json::value>;
 
-/** @returns a tree as readable JSON: a member a line, indented. */
+/** @returns a value as indented JSON with one object member per line. */
 auto prettyJson (const boost::json::value& value) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_settings/reading/LineIndex.cpp
+++ b/modules/snowrudder_settings/reading/LineIndex.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** Follows the parser through the document and notes each value's line. */
+/** Handler for Boost.JSON's basic_parser that records the line of each value. */
 class LineHandler
 {
 public:
@@ -21,7 +21,7 @@
     static constexpr auto max_key_size = std::size_t (-1);    // NOLINT(readability-identifier-naming)
     static constexpr auto max_string_size = std::size_t (-1); // NOLINT(readability-identifier-naming)
 
-    // The names and the `bool` results below are those that Boost.JSON's basic_parser calls.
+    // Boost.JSON's basic_parser requires these names and `bool` results.
     // NOLINTBEGIN(readability-identifier-naming)
     auto on_document_begin (json::error_code&) -> bool { return true; }
     auto on_document_end (json::error_code&) -> bool { return true; }
--- a/modules/snowrudder_settings/reading/LineIndex.h
+++ b/modules/snowrudder_settings/reading/LineIndex.h
@@ -8,25 +8,25 @@
 namespace snowrudder
 {
 
-/** Where each value of a JSON document stands, by the value's path. */
+/** Line numbers of the values of a JSON document, counted from 1, by path. */
 using LineIndex = std::map<std::string, std::size_t, std::less<>>;
 
-/** What reading a document as plain JSON gives. */
+/** Result of indexing a JSON document. */
 struct LineIndexResult
 {
     LineIndex lines;
-    /** Empty when the document is well formed. */
+    /** The parser's error; empty if the document is well formed. */
     std::string error;
     /** The line of the error, or the document's last line. */
     std::size_t line = 0;
-    /** A member's path given twice in one object; empty when there is none. */
+    /** Path of the first member that occurs twice in one object; empty if there is none. */
     std::string duplicatePath;
 };
 
-/** Finds the line of each value. Comments and nothing else beyond JSON are allowed.
+/** Finds the line of each value of a document. Comments are the only extension of JSON that is allowed.
 
-    Boost.JSON's parser tells no positions, so it is fed one line at a time and each value is noted under the
-    line being fed.
+    Boost.JSON's parser doesn't report positions. It is therefore fed one line at a time, and each value is recorded
+    with the line being parsed.
 */
 auto indexLines (std::string_view text) -> LineIndexResult;
 
--- a/modules/snowrudder_settings/reading/MessageReader.cpp
+++ b/modules/snowrudder_settings/reading/MessageReader.cpp
@@ -24,7 +24,7 @@
 namespace
 {
 
-/** One walk over a document, beside the message that it fills. */
+/** Traverses a JSON document, validates it, and fills a message from it. */
 class DocumentReader
 {
 public:
--- a/modules/snowrudder_settings/reading/MessageReader.h
+++ b/modules/snowrudder_settings/reading/MessageReader.h
@@ -10,24 +10,25 @@
 namespace snowrudder
 {
 
-/** Reads a JSON document with comments into a schema's message and checks every field: its name must be known,
-    its type must fit, and its rules (see field_rules.proto) must hold. All errors are found in one go.
+/** Reads a JSON document, which may contain comments, into a protobuf message and validates every field: its name must
+    be in the schema, its type must match, and its rules (see field_rules.proto) must be met. Reports all errors of the
+    fields, not only the first; after a syntax error or a member given twice no fields are read.
 
     @param text     the document
-    @param file     named in errors
-    @param message  cleared first; holds the document when no error is returned
-    @returns        the errors, empty when the document is valid
+    @param file     the file name for errors
+    @param message  cleared first; complete only if no error is returned
+    @returns        the errors; empty if the document is valid
 */
 auto readMessage (std::string_view text, std::string_view file, google::protobuf::Message& message)
     -> SettingsErrors;
 
-/** Reads a file as readMessage does. A file that can't be read is an error too. */
+/** Reads a file with readMessage(). Returns an error if the file can't be read. */
 auto readMessageFile (const std::string& file, google::protobuf::Message& message) -> SettingsErrors;
 
-/** @returns whether a text is IP-NUMBER:PORT. */
+/** @returns whether a text has the form IP-NUMBER:PORT. */
 auto isEndpoint (std::string_view text) -> bool;
 
-/** @returns a message as JSON with the schema's own names, fields that are not set left out. */
+/** @returns a message as JSON with the field names of the schema. Unset fields are omitted. */
 auto writeMessage (const google::protobuf::Message& message) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_settings/reading/ProcessSettings.h
+++ b/modules/snowrudder_settings/reading/ProcessSettings.h
@@ -10,8 +10,8 @@
 namespace snowrudder
 {
 
-/** Reads a process's own settings as its command line asks. Prints every error and ends the process when the
-    file is not valid, or when only a check was asked for.
+/** Reads the settings file named on the command line. If the file is not valid, prints all errors and exits with
+    ExitCode::settings. If the command line requests only a check, exits with ExitCode::success.
 
     @param line     the command line
     @param program  the program's name, for messages
--- a/modules/snowrudder_settings/reading/SettingsError.h
+++ b/modules/snowrudder_settings/reading/SettingsError.h
@@ -8,14 +8,14 @@
 namespace snowrudder
 {
 
-/** One thing wrong with a settings document. */
+/** One error in a settings document. */
 struct SettingsError
 {
-    /** The file as it was named, or a word for where the document came from. */
+    /** The file name as given, or a label for a document that is not from a file, such as `body`. */
     std::string file;
-    /** Counted from 1; 0 where no line can be named. */
+    /** Line number, counted from 1; 0 if unknown. */
     std::size_t line = 0;
-    /** Names joined by dots, list positions in brackets: `services.push.repeat_rules[0].path_prefix`. */
+    /** Member names joined by dots, list indices in brackets: `services.push.repeat_rules[0].path_prefix`. */
     std::string path;
     std::string message;
 };
@@ -36,7 +36,7 @@
 
 using SettingsErrors = std::vector<SettingsError>;
 
-/** Prints errors to standard error, one line each, behind a program's name. */
+/** Prints errors to standard error, one per line, prefixed with the program's name. */
 inline auto printErrors (const char* program, const SettingsErrors& errors) -> void
 {
     for (const auto& error : errors)
--- a/modules/snowrudder_settings/snowrudder_settings.h
+++ b/modules/snowrudder_settings/snowrudder_settings.h
@@ -1,9 +1,9 @@
 /** @file
-    snowrudder_settings: reads settings, checks them against the schema, and answers from them.
+    snowrudder_settings: reads settings, validates them against the schema, and provides lookups in them.
 
-    - reading/  JSON with comments into a schema's message, each field checked, errors with file, line and path
-    - edit/     edits of the operators' tree, differences, where an effective value comes from
-    - tree/     the operators' tree: inheritance between client accounts, lookups by key, model and path
+    - reading/  reads JSON with comments into a protobuf message; validates each field; errors carry file, line and path
+    - edit/     edits of the settings tree, differences between trees, the origin of effective values
+    - tree/     the settings tree: inheritance between client accounts, lookups by key, model and name
 
     Depends on: snowrudder_core, snowrudder_schema, Boost.JSON, Protobuf.
 */
--- a/modules/snowrudder_settings/tree/FleetView.h
+++ b/modules/snowrudder_settings/tree/FleetView.h
@@ -15,10 +15,10 @@
 namespace snowrudder
 {
 
-/** What holds for one client account once inheritance is worked out. */
+/** A client account's effective policy, with inheritance resolved. */
 struct AccountView
 {
-    /** Names from the top joined by '/', such as `city/control-desk`. */
+    /** Account names from the top level down, joined by '/', such as `city/control-desk`. */
     std::string name;
     std::set<std::string, std::less<>> services;
     double requestsPerSecond = 0.0;
@@ -29,7 +29,7 @@
     std::chrono::milliseconds deadline {};
 };
 
-/** One service as the router uses it. */
+/** A service's settings. */
 struct ServiceView
 {
     std::string name;
@@ -38,7 +38,7 @@
     schema::Service settings;
 };
 
-/** Policy values where no level of the tree gives one. */
+/** Policy values used if no level of the tree sets them. */
 struct PolicyDefaults
 {
     static constexpr auto requestsPerSecond = 1000.0;
@@ -49,29 +49,29 @@
     static constexpr auto deadline = std::chrono::milliseconds (120'000);
 };
 
-/** One revision of the operators' tree, worked out for lookups. It never changes: a new revision is a new view. */
+/** Immutable lookup tables built from one revision of the settings tree. Each new revision gets a new view. */
 class FleetView
 {
 public:
     FleetView() = default;
 
-    /** @param tree      a tree that readMessage and checkTree found valid
-        @param revision  the platform's version of it
+    /** @param tree      a tree that has passed readMessage() and checkTree()
+        @param revision  the version of the tree in the platform's key-value service
     */
     FleetView (const schema::FleetSettings& tree, std::uint64_t revision);
 
     [[nodiscard]] auto revision() const -> std::uint64_t { return treeRevision; }
 
-    /** @returns the client account that a bearer key names, or nullptr. */
+    /** @returns the client account that a bearer key belongs to, or nullptr. */
     [[nodiscard]] auto accountForKey (std::string_view key) const -> std::shared_ptr<const AccountView>;
 
-    /** @returns the client account of a name, or nullptr. */
+    /** @returns the client account with a name in the form of AccountView::name, or nullptr. */
     [[nodiscard]] auto accountNamed (std::string_view name) const -> std::shared_ptr<const AccountView>;
 
     /** @returns the service that offers a model, or nullptr. */
     [[nodiscard]] auto serviceForModel (std::string_view model) const -> std::shared_ptr<const ServiceView>;
 
-    /** @returns the service of a name, or nullptr. */
+    /** @returns the service with a name, or nullptr. */
     [[nodiscard]] auto service (std::string_view name) const -> std::shared_ptr<const ServiceView>;
 
     [[nodiscard]] auto services() const
@@ -91,13 +91,16 @@
     std::map<std::string, std::shared_ptr<const ServiceView>, std::less<>> servicesByName;
 };
 
-/** @returns a policy after a level's own values replace the inherited ones. */
+/** @returns the inherited policy overridden by the values that a level sets. A non-empty list of services replaces the
+    inherited list.
+*/
 auto overridePolicy (schema::AccountPolicy inherited, const schema::AccountPolicy& own)
     -> schema::AccountPolicy;
 
-/** @returns whether a call to a plain service may run twice, by the first rule that matches.
+/** @returns whether a call to a plain service may be executed more than once. The first matching rule decides; without
+    one only GET and HEAD are repeatable.
 
-    @param path  the part behind /services/NAME, with its leading '/'
+    @param path  the part after /services/NAME, including its leading '/'
 */
 auto isRepeatable (const schema::Service& service, std::string_view method, std::string_view path) -> bool;
 
--- a/modules/snowrudder_settings/tree/TreeCheck.cpp
+++ b/modules/snowrudder_settings/tree/TreeCheck.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto sha256Digits = std::size_t { 64 };
 
-/** One walk over the tree. */
+/** Validates one tree and collects the errors. */
 class TreeValidator
 {
 public:
--- a/modules/snowrudder_settings/tree/TreeCheck.h
+++ b/modules/snowrudder_settings/tree/TreeCheck.h
@@ -9,10 +9,10 @@
 namespace snowrudder
 {
 
-/** Checks what no single field can tell: services that are named exist, keys belong to one client account, model
-    names belong to one service.
+/** Validates the rules that span several fields: referenced services exist, each key belongs to one client account, and
+    each model name to one service. Also checks the form of key hashes.
 
-    @param file  named in errors
+    @param file  the file name for errors
 */
 auto checkTree (const schema::FleetSettings& tree, std::string_view file) -> SettingsErrors;
 
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings tree, edited through the administration API, on real processes."""
+"""Tests of editing the settings tree through the administration API, with real processes."""
 import concurrent.futures
 import json
 import os
@@ -80,7 +80,7 @@
 
     def test_an_edit_accepted_right_before_an_outage_reaches_every_router(self):
         deployment = self.deployment(routers=6)
-        # One router is down while the edit is made and starts during the outage.
+        # This router is down during the edit and starts during the outage of the key-value service.
         late = "router-6"
         deployment.processes[late].kill()
         deployment.processes[late].wait()
--- a/tests/unit/SettingsTests.cpp
+++ b/tests/unit/SettingsTests.cpp
@@ -58,7 +58,7 @@
     CHECK (badEndpoint[0] == "router.json:4: platform: must be IP-NUMBER:PORT");
 }
 
-TEST_CASE ("settings that are not JSON name the line")
+TEST_CASE ("errors of malformed JSON name the line")
 {
     const auto broken = errorsOf ("{\n  \"listen\": \"127.0.0.1:1\",\n  \"workers\" 2\n}");
     REQUIRE (broken.size() == 1);
@@ -89,7 +89,7 @@
     }
 }
 
-TEST_CASE ("accounts inherit from the levels above and override what they give")
+TEST_CASE ("accounts inherit policies from the levels above and override them")
 {
     const auto key = sha256Hex ("secret");
     const auto text = R"({ "policy": { "services": ["a", "b"], "weight": 3, "priority": 4 },
@@ -112,7 +112,7 @@
     CHECK (view.accountForKey ("other") == nullptr);
 }
 
-TEST_CASE ("a tree that contradicts itself is refused by path")
+TEST_CASE ("inconsistencies within a tree are refused with their path")
 {
     schema::FleetSettings tree;
     const auto key = sha256Hex ("secret");
