--- a/modules/snowrudder_admin/api/AdminHandler.cpp
+++ b/modules/snowrudder_admin/api/AdminHandler.cpp
@@ -36,7 +36,7 @@
     co_await respondProblem (exchange, makeProblem (kind, std::move (detail)));
 }
 
-/** @returns the tree in force, or nothing when the platform's service does not answer. */
+/** @returns the current tree, or nothing if the platform's service does not respond. */
 auto readHead (AdminState& state) -> Task<std::optional<StoredTree>>
 {
     const auto stored = co_await state.platform.read (treeStoreKey, "settings");
@@ -91,7 +91,9 @@
     co_await respondJsonBody (exchange, http::status::ok, body);
 }
 
-/** @returns all revisions that are known, the newest first; nothing when the service does not answer. */
+/** @returns the current revision and those in the history, newest first; nothing if the platform's service does not
+    respond.
+*/
 auto readHistory (AdminState& state) -> Task<std::optional<std::vector<StoredTree>>>
 {
     const auto head = co_await readHead (state);
--- a/modules/snowrudder_admin/api/AdminResponses.h
+++ b/modules/snowrudder_admin/api/AdminResponses.h
@@ -10,18 +10,18 @@
 namespace snowrudder
 {
 
-/** Path below which the tree stands. */
+/** Path prefix of the settings tree in request targets. */
 inline constexpr auto settingsPrefix = std::string_view ("/v1/settings");
 
-/** @returns the tree's path in a request's target. */
+/** @returns the path in the settings tree that a request's target refers to. */
 auto settingsPath (const Exchange& exchange) -> TreePath;
 
-/** Answers with JSON. */
+/** Responds with a JSON body. */
 auto respondJsonBody (Exchange& exchange, http::status status, boost::json::value body) -> Task<void>;
 
-/** Answers with a problem.
+/** Responds with a problem.
 
-    @param extra  members beside the usual ones
+    @param extra  members added to the standard ones
 */
 auto respondProblem (Exchange& exchange, const Problem& problem, const boost::json::object& extra = {})
     -> Task<void>;
--- a/modules/snowrudder_admin/api/AdminState.h
+++ b/modules/snowrudder_admin/api/AdminState.h
@@ -8,7 +8,7 @@
 namespace snowrudder
 {
 
-/** What the administration API's one event loop works with. */
+/** State of the administration API, used from its single event loop. */
 struct AdminState
 {
     AdminState (asio::io_context& eventLoop, const schema::AdminSettings& adminSettings)
--- a/modules/snowrudder_admin/api/EditHandler.cpp
+++ b/modules/snowrudder_admin/api/EditHandler.cpp
@@ -25,7 +25,7 @@
     return method == http::verb::delete_ ? EditAction::remove : EditAction::replace;
 }
 
-/** @returns the revision of If-Match, quoted or not; nothing where there is none. */
+/** @returns the revision in `If-Match`, quoted or not; nothing if the header is missing or malformed. */
 auto baseRevision (const Exchange& exchange) -> std::optional<std::uint64_t>
 {
     auto text = exchange.header ("If-Match");
@@ -39,7 +39,7 @@
     return ! text.empty() && isWhole ? std::optional (revision) : std::nullopt;
 }
 
-/** @returns the edit that a request asks for, or what is wrong with it. */
+/** @returns the edit described by a request, or the problem with the request. */
 auto readEdit (const Exchange& exchange, const std::string& author) -> std::variant<EditRequest, Problem>
 {
     EditRequest editRequest;
@@ -100,7 +100,7 @@
     co_await respondProblem (exchange, makeProblem (ErrorKind::settingsInvalid), extra);
 }
 
-/** Spreads a stored revision and says whether it is accepted. */
+/** Distributes a stored revision to the routers and responds whether it is accepted. */
 auto respondStored (AdminState& state,
                     Exchange& exchange,
                     const EditRequest& editRequest,
@@ -136,7 +136,8 @@
                     const EditRequest& editRequest,
                     const EditResult& result) -> Task<void>
 {
-    // An earlier try with this identifier may have stored it: then "nothing was changed" can't be promised.
+    // An earlier attempt with this identifier may have stored the edit, so the response must not state that nothing was
+    // changed.
     const auto mayBeRetry = ! exchange.header (editHeader).empty();
     auto extra = json::object();
     extra["edit_id"] = editRequest.id;
--- a/modules/snowrudder_admin/api/EditHandler.h
+++ b/modules/snowrudder_admin/api/EditHandler.h
@@ -6,16 +6,17 @@
 namespace snowrudder
 {
 
-/** Answers `PUT`, `PATCH` and `DELETE /v1/settings/PATH`.
+/** Handles `PUT`, `PATCH` and `DELETE /v1/settings/PATH`.
 
-    `If-Match` names the revision that the operator knew; `Snowrudder-Edit-Id`, a name of the operator's choice, makes asking
-    again safe. `accepted: true` means: in force everywhere within 13 s, and never reverted.
+    `If-Match` gives the revision that the edit is based on. `Snowrudder-Edit-Id`, a name chosen by the operator, makes
+    retries idempotent. `accepted: true` means that the edit takes effect on all routers within 13 s and is never
+    reverted.
 
     @param author  the operator's name
 */
 auto handleEdit (AdminState& state, Exchange& exchange, const std::string& author) -> Task<void>;
 
-/** Makes a procedure's calls until it has a result. */
+/** Performs the calls of a procedure until it has a result. */
 auto runProcedure (AdminState& state, EditProcedure& procedure) -> Task<void>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/snowrudder_admin.h
+++ b/modules/snowrudder_admin/snowrudder_admin.h
@@ -1,9 +1,9 @@
 /** @file
-    snowrudder_admin: the administration API, through which operators read and edit the settings tree.
+    snowrudder_admin: the administration API, which operators use to read and edit the settings tree.
 
-    - store/   storing an edit by compare-and-swap, its fate after lost answers, the history
-    - spread/  giving a revision to the routers, and when it may be called accepted
-    - api/     the HTTP face
+    - store/   stores edits by compare-and-swap, resolves lost responses, keeps the history
+    - spread/  distributes a revision to the routers and decides when it is accepted
+    - api/     the HTTP interface
 
     Depends on: snowrudder_core, snowrudder_net, snowrudder_platform, snowrudder_settings, snowrudder_schema.
 */
@@ -11,5 +11,5 @@
 
 #include "api/AdminHandler.h"
 #include "api/AdminState.h"
-#include "spread/AcceptanceRule.h"
+#include "spread/AcceptRule.h"
 #include "store/EditProcedure.h"
--- a/modules/snowrudder_admin/spread/AcceptanceRule.cpp
+++ b/modules/snowrudder_admin/spread/AcceptRule.cpp
@@ -1,4 +1,4 @@
-#include "AcceptanceRule.h"
+#include "AcceptRule.h"
 
 #include <algorithm>
 #include <set>
--- a/modules/snowrudder_admin/spread/TreeDistribution.h
+++ b/modules/snowrudder_admin/spread/TreeDistribution.h
@@ -2,7 +2,7 @@
 
 #include "../api/AdminState.h"
 #include "../store/EditProcedure.h"
-#include "AcceptanceRule.h"
+#include "AcceptRule.h"
 
 #include "node_messages.pb.h"
 
@@ -11,25 +11,25 @@
 namespace snowrudder
 {
 
-/** Gives a revision to all routers at once, and again to those that did not answer, until it may be called accepted.
+/** Sends a revision to all routers in parallel, and repeats this until the revision is accepted or time is up.
 
-    @param longest  gives up after this long
-    @returns        what each router held last, in the order of the settings
+    @param timeout  gives up after the first round that ends later than this
+    @returns        the last known revision of each router, in the order of the settings
 */
 auto distributeRevision (AdminState& state, const StoredTree& tree, Duration timeout)
     -> Task<std::vector<RouterRevision>>;
 
-/** A router's answer to a question for its state. */
+/** A router's response to a status query. */
 struct RouterStatusResponse
 {
     std::string name;
     std::string failureDomain;
-    /** Whether it answered. */
+    /** Whether the router responded. */
     bool reached = false;
     schema::RouterStatus status;
 };
 
-/** Asks all routers for their state at once. */
+/** Queries the status of all routers in parallel. */
 auto queryRouters (AdminState& state) -> Task<std::vector<RouterStatusResponse>>;
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/store/EditProcedure.cpp
+++ b/modules/snowrudder_admin/store/EditProcedure.cpp
@@ -10,7 +10,9 @@
 
 constexpr auto maxFailures = std::uint32_t { 6 };
 
-/** Values of the platform hold up to a megabyte (letter 1); the rest is room for the history's wrapping. */
+/** The platform's key-value service stores up to 1 MB per value. The difference is reserved for the overhead of history
+    entries.
+*/
 constexpr auto maxTreeBytes = std::size_t { 900'000 };
 
 constexpr auto editMarkMember = "edit";
@@ -95,7 +97,7 @@
 
 auto EditProcedure::handleResponse (const StoreResponse& response) -> void
 {
-    requireInvariant (! finalResult.has_value(), "an edit ends once");
+    requireInvariant (! finalResult.has_value(), "an edit receives no response after it has ended");
 
     switch (step)
     {
@@ -135,7 +137,8 @@
 
 auto EditProcedure::searchOrConflict() -> void
 {
-    // The edit may be stored already and followed by others. They were made since the revision that it was made from.
+    // The edit may already be stored and followed by others. In that case it is newer than its base revision, so only
+    // the entries since then are searched.
     const auto canBeInHistory = head.revision > request.baseRevision && searchedEntries + 1 < historyLength;
 
     if (head.number > searchedEntries && canBeInHistory)
@@ -152,7 +155,7 @@
     auto entry = readHistoryEntry (response.value);
     const auto number = head.number - 1 - searchedEntries;
 
-    // An entry of another number was overwritten, or never kept: nothing older is there.
+    // An entry with a different number was overwritten or never written, so no older entries exist.
     if (! entry || entry->number != number || entry->revision < request.baseRevision)
         return end (EditResult::Kind::conflict);
 
@@ -225,7 +228,7 @@
     slotVersion = response.value.version;
     const auto kept = readHistoryEntry (response.value);
 
-    // Another operator's try may have kept the same revision already.
+    // Another operator's attempt may have written this revision to the history already.
     step = kept && kept->revision == head.revision ? Step::writeHead : Step::writeSlot;
 }
 
@@ -234,7 +237,8 @@
     if (response.outcome == WriteOutcome::done)
     {
         auto stored = readTree (response.value.version, newText);
-        requireInvariant (stored.has_value() && stored->revision > head.revision, "a revision goes forward");
+        requireInvariant (stored.has_value() && stored->revision > head.revision,
+                          "a stored tree has a newer revision than before");
         head = std::move (*stored);
         return end (EditResult::Kind::stored);
     }
@@ -256,11 +260,11 @@
         return end (EditResult::Kind::stored);
     }
 
-    // Not there yet: the same write again is safe, for only one of them can replace this revision.
+    // The edit is not stored yet. Repeating the write is safe, because only one write can replace this revision.
     if (now->revision == head.revision)
         return retry (Step::writeHead);
 
-    // The head has moved past our place: our edit is in the history, or another one took the place.
+    // The head is more than one edit ahead: either this edit is in the history, or another edit has its number.
     if (now->number > head.number + 1 && mayBeStored)
     {
         step = Step::readBackHistory;
@@ -279,7 +283,7 @@
 
     auto entry = readHistoryEntry (response.value);
 
-    // Too many edits since: the entry is gone, and with it the proof.
+    // The entry has been overwritten by later edits, so it is unknown whether this edit was stored.
     if (! entry || entry->number != head.number + 1)
         return end (EditResult::Kind::unknown);
 
--- a/modules/snowrudder_admin/store/EditProcedure.h
+++ b/modules/snowrudder_admin/store/EditProcedure.h
@@ -12,99 +12,102 @@
 namespace snowrudder
 {
 
-/** Revisions kept behind the one in force. */
+/** Number of earlier revisions kept in the history. */
 inline constexpr auto historyLength = std::uint32_t { 64 };
 
-/** @returns the key under which the tree of an edit's number is kept once a newer one is in force. */
+/** @returns the history key of the tree made by the edit with a number. The tree is stored there before a newer one
+    replaces it.
+*/
 auto historyKey (std::uint32_t number) -> std::string;
 
-/** One revision of the tree as it is stored. */
+/** A stored revision of the tree. */
 struct StoredTree
 {
     std::uint64_t revision = 0;
     std::string text;
     boost::json::value tree;
-    /** Of the edit that made it; empty and 0 for a tree that no edit made. */
+    /** Identifier and number of the edit that created the revision; empty and 0 if it was not created by an edit. */
     std::string editId;
     std::uint32_t number = 0;
 };
 
-/** @returns the tree in a stored value, or nothing where none can be read from it. */
+/** @returns the tree in a stored value, or nothing if the value is not valid. */
 auto readStoredTree (const StoredValue& stored) -> std::optional<StoredTree>;
 
-/** @returns the tree in an entry of the history, or nothing. */
+/** @returns the tree in a history entry, or nothing if the entry is not valid. */
 auto readHistoryEntry (const StoredValue& stored) -> std::optional<StoredTree>;
 
-/** A call to the key-value service that a procedure asks for. */
+/** A call to the key-value service, requested by an EditProcedure. */
 struct StoreCall
 {
     std::string key;
-    /** Empty for a read. */
+    /** The value to write; nothing for a read. */
     std::optional<std::string> value;
-    /** The version that a write replaces. */
+    /** For a write, the version that it replaces. */
     std::uint64_t expected = 0;
 };
 
-/** What came of it. */
+/** The result of a StoreCall. */
 struct StoreResponse
 {
-    /** Of a read: done or unknown. */
+    /** For a read: `done` or `unknown`. */
     WriteOutcome outcome = WriteOutcome::unknown;
-    /** What was read, or the version written. */
+    /** The value read, or the version written. */
     StoredValue value;
 };
 
-/** How an edit ended. */
+/** The result of an edit. */
 struct EditResult
 {
     enum class Kind
     {
-        /** It is stored, now or by an earlier try of the same edit. */
+        /** The edit is stored, now or by an earlier attempt with the same identifier. */
         stored,
-        /** Another edit came first. */
+        /** Another edit was stored first. */
         conflict,
-        /** The tree would not be valid. */
+        /** The edited tree would not be valid. */
         invalid,
-        /** Nothing was stored: the service can't be reached. */
+        /** Nothing was stored, because the key-value service can't be reached. */
         unavailable,
-        /** It may be stored. Asking again with the same identifier tells. */
+        /** The edit may be stored. A retry with the same identifier finds out. */
         unknown
     };
 
     Kind kind = Kind::unknown;
-    /** In force, where stored; else the current revision. */
+    /** The revision created by the edit if it is stored, otherwise the current revision. */
     StoredTree tree;
-    /** The revision that the operator knew, where a conflict and still kept. */
+    /** After a conflict, the base revision of the edit if it is still in the history. */
     std::optional<StoredTree> baseTree;
     SettingsErrors errors;
 };
 
-/** What an operator asks for. */
+/** An operator's request to edit the tree. */
 struct EditRequest
 {
     std::string id;
     std::string author;
     TreeEdit edit;
-    /** The revision that the operator knew. */
+    /** The revision that the edit is based on. */
     std::uint64_t baseRevision = 0;
     std::uint64_t nowSeconds = 0;
 };
 
-/** Stores one edit of the tree: reads the head, finds out whether the edit was stored before, keeps the old revision in the
-    history, and replaces the head by compare-and-swap. A lost answer is resolved by reading back the edit's identifier.
+/** Stores one edit of the tree: reads the head, checks whether the edit is already stored, copies the old revision to
+    the history, and replaces the head by compare-and-swap. A lost response is resolved by reading back the edit's
+    identifier.
 
-    Plain decisions: the caller makes the calls that next() asks for and gives their answers to take(), one after the other.
-    So the administration API and the randomised runs share it.
+    This is a state machine without I/O, shared by the administration API and the randomised tests. The caller performs
+    the calls returned by next() one after the other and passes their responses to handleResponse().
 */
 class EditProcedure
 {
 public:
     explicit EditProcedure (EditRequest editRequest) : request (std::move (editRequest)) {}
 
-    /** @returns the next call to make, or nothing once there is a result. */
+    /** @returns the next call to perform, or nothing once there is a result. */
     [[nodiscard]] auto next() const -> std::optional<StoreCall>;
 
-    /** Takes the answer of the call that next() asked for. */
+    /** Processes the response to the call returned by next(). */
     auto handleResponse (const StoreResponse& response) -> void;
 
     [[nodiscard]] auto result() const -> const std::optional<EditResult>& { return finalResult; }
@@ -130,7 +133,7 @@
     auto searchOrConflict() -> void;
     auto buildTree() -> void;
     auto end (EditResult::Kind kind) -> void;
-    /** Goes to a step again after a failure, or gives up. */
+    /** Continues with a step after a failure, or ends the edit after too many failures. */
     auto retry (Step nextStep) -> void;
 
     EditRequest request;
@@ -140,7 +143,7 @@
     std::uint64_t slotVersion = 0;
     std::uint32_t searchedEntries = 0;
     std::uint32_t failures = 0;
-    /** Whether a write of the head may have taken effect without our knowing. */
+    /** Whether a write of the head with an unknown outcome may have taken effect. */
     bool mayBeStored = false;
     std::optional<StoredTree> baseTree;
     std::optional<EditResult> finalResult;
