--- a/modules/snowrudder_chat/chunk/ChatChunk.cpp
+++ b/modules/snowrudder_chat/chunk/ChatChunk.cpp
@@ -74,7 +74,7 @@
     if (data == "[DONE]")
         return StreamEnd {};
 
-    // One chunk's objects fit here, so that reading it allocates nothing.
+    // Large enough for the objects of a typical chunk, so that parsing it needs no heap allocation.
     std::array<unsigned char, 4096> memory;
     json::monotonic_resource resource (memory.data(), memory.size());
     boost::system::error_code error;
--- a/modules/snowrudder_chat/chunk/ChatChunk.h
+++ b/modules/snowrudder_chat/chunk/ChatChunk.h
@@ -12,44 +12,45 @@
 namespace snowrudder
 {
 
-/** Token counts as an engine states them. */
+/** Token counts reported by an engine. */
 struct Usage
 {
     std::uint32_t promptTokens = 0;
-    /** Of the prompt's tokens, those that the engine had in its cache. */
+    /** The prompt tokens that were in the engine's cache. */
     std::uint32_t cachedTokens = 0;
     std::uint32_t completionTokens = 0;
 };
 
-/** One chunk of an engine's streamed answer. */
+/** One chunk of an engine's streamed response. */
 struct ChatChunk
 {
-    /** Text added by this chunk; empty where it adds none. */
+    /** Text added by this chunk; may be empty. */
     std::string content;
-    /** Why the answer ended; empty before the end. */
+    /** The reason why the response ended; empty before the end. */
     std::string finishReason;
-    /** The choice as JSON where it holds more than text (tool calls, log probabilities); else empty. */
+    /** The choice as JSON if it contains more than text, such as tool calls or log probabilities; otherwise empty. */
     std::string other;
-    /** Counts so far, where the chunk gives them. */
+    /** Token counts so far, if the chunk contains them. */
     std::optional<Usage> usage;
 };
 
-/** What one event of an engine's stream can be. */
+/** The `[DONE]` event that ends a stream. */
 struct StreamEnd
 {
 };
 
-/** An error object in place of a chunk. */
+/** An error object sent in place of a chunk. */
 struct StreamError
 {
     std::string message;
 };
 
+/** One event of an engine's stream. */
 using ChatEvent = std::variant<ChatChunk, StreamEnd, StreamError>;
 
-/** Reads one event's data.
+/** Parses the data of one event of an engine's stream.
 
-    @returns the event, or empty when it is none that an engine may send
+    @returns the event, or nothing if it is not valid
 */
 auto parseChatEvent (std::string_view data) -> std::optional<ChatEvent>;
 
--- a/modules/snowrudder_chat/chunk/ChatWriter.h
+++ b/modules/snowrudder_chat/chunk/ChatWriter.h
@@ -9,45 +9,45 @@
 namespace snowrudder
 {
 
-/** What stays the same over all chunks of one answer. */
+/** Fields that are the same in all chunks of a response. */
 struct CompletionMetadata
 {
-    /** The request's identifier: the same whichever engine answers. */
+    /** The request's identifier. It does not depend on the engine that responds. */
     std::string id;
     std::string model;
     std::chrono::sys_seconds created {};
 };
 
-/** Writes the chunks and whole answers that callers get. The parts that never change are written once. */
+/** Writes the chunks and complete responses sent to callers. Fields common to all chunks are serialised only once. */
 class ChatWriter
 {
 public:
     explicit ChatWriter (CompletionMetadata completionMetadata);
 
-    /** Appends an event with added text.
+    /** Appends an event that adds text.
 
-        @param eventId  the event's `id:`, from which a caller can resume
+        @param eventId  the event's `id:`, from which a caller can resume the stream
     */
     auto appendText (std::string& target, std::uint64_t eventId, std::string_view text) const -> void;
 
-    /** Appends an event whose choice is given as JSON. */
+    /** Appends an event with a choice given as JSON. */
     auto appendChoice (std::string& target, std::uint64_t eventId, std::string_view choice) const -> void;
 
-    /** Appends the event that says why the answer ended. */
+    /** Appends the event with the finish reason. */
     auto appendFinish (std::string& target, std::uint64_t eventId, std::string_view reason) const -> void;
 
-    /** Appends the event with usage figures. */
+    /** Appends the event with token counts. */
     auto appendUsage (std::string& target, std::uint64_t eventId, const Usage& usage) const -> void;
 
     /** Appends an event with an error object. */
     static auto appendProblem (std::string& target, std::string_view problem) -> void;
 
-    /** Appends the end of the stream. */
+    /** Appends the `[DONE]` event that ends the stream. */
     static auto appendDone (std::string& target) -> void;
 
-    /** @returns a whole answer.
+    /** @returns the body of a response that is not streamed.
 
-        @param toolCalls  a JSON list, or empty
+        @param toolCalls  the tool calls; omitted if empty
     */
     [[nodiscard]] auto wholeAnswer (std::string_view text,
                                     std::string_view reason,
@@ -61,7 +61,7 @@
     std::string chunkHead;
 };
 
-/** Adds the tool calls of a streamed choice to those gathered so far: parts with the same index are joined. */
+/** Merges the tool calls of a streamed choice into those collected so far. Parts with the same index are joined. */
 auto mergeToolCalls (boost::json::array& collected, std::string_view choice) -> void;
 
 } // namespace snowrudder
--- a/modules/snowrudder_chat/request/ChatRequest.cpp
+++ b/modules/snowrudder_chat/request/ChatRequest.cpp
@@ -13,7 +13,7 @@
     return makeProblem (ErrorKind::invalidRequest, "\"" + std::string (name) + "\" " + std::string (rule));
 }
 
-/** @returns a member that is there and not null, or nullptr. */
+/** @returns a member, or nullptr if it is missing or null. */
 auto findMember (const json::object& object, std::string_view name) -> const json::value*
 {
     const auto* value = object.if_contains (json::string_view (name.data(), name.size()));
--- a/modules/snowrudder_chat/request/ChatRequest.h
+++ b/modules/snowrudder_chat/request/ChatRequest.h
@@ -18,30 +18,30 @@
 {
     std::string model;
     bool stream = false;
-    /** Whether a streaming caller asked for a last chunk with usage figures. */
+    /** Whether the caller of a stream requested a last chunk with token counts. */
     bool includeUsage = false;
-    /** Most tokens to generate; 0 when the caller set no limit. */
+    /** Maximum number of tokens to generate; 0 if the caller set no limit. */
     std::uint32_t maxTokens = 0;
-    /** The whole request as it came. */
+    /** The complete request as received. */
     boost::json::object body;
 };
 
-/** Reads a request and checks what the router relies on.
+/** Parses a request and validates the members that the router depends on.
 
-    @returns the request, or a problem that names the member at fault
+    @returns the request, or a problem that names the invalid member
 */
 auto parseChatRequest (std::string_view text) -> std::variant<ChatRequest, Problem>;
 
-/** @returns the prompt as one text: each message's role and content in order, without any later answer. */
+/** @returns the prompt as one text: the role and content of each message of the request, in order. */
 auto promptText (const boost::json::object& body) -> std::string;
 
-/** @returns the request as it goes to an engine: streamed, with usage on every chunk, with a priority.
+/** @returns the body of the request to an engine: always streamed, with token counts in every chunk, and a priority.
 
     @param request    the caller's request
-    @param priority   lower runs first
-    @param cacheSalt  keeps the engine's prompt cache apart for each client account
-    @param relayed    the part of the answer that the caller has already; the engine goes on behind it
-    @param relayedTokens  how many tokens that part has
+    @param priority   lower values run first
+    @param cacheSalt  separates the entries of different client accounts in the engine's prompt cache
+    @param relayed    the part of the response that the caller already has; the engine continues after it
+    @param relayedTokens  the number of tokens in that part; deducted from the limit of tokens to generate
 */
 auto engineRequestBody (const ChatRequest& request,
                         std::uint32_t priority,
--- a/modules/snowrudder_chat/snowrudder_chat.h
+++ b/modules/snowrudder_chat/snowrudder_chat.h
@@ -1,8 +1,8 @@
 /** @file
-    snowrudder_chat: the OpenAI shape of chat completions, as far as a router must understand it.
+    snowrudder_chat: the parts of the OpenAI chat completion API that a router has to understand.
 
-    - request/  a caller's request: what routing needs from it, and the form in which it goes to an engine
-    - chunk/    an engine's streamed chunks, and the chunks and whole answers made for callers
+    - request/  parses callers' requests and builds the requests sent to engines
+    - chunk/    parses the chunks streamed by engines and writes chunks and complete responses for callers
 
     Depends on: snowrudder_core, Boost.JSON.
 */
--- a/modules/snowrudder_ctl/command/AdminClient.cpp
+++ b/modules/snowrudder_ctl/command/AdminClient.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Longer than the API waits for routers to hold an edit. */
+/** Must exceed the time for which the API waits until an edit is accepted. */
 constexpr auto responseTimeout = 20s;
 constexpr auto connectTimeout = 2s;
 
--- a/modules/snowrudder_ctl/command/AdminClient.h
+++ b/modules/snowrudder_ctl/command/AdminClient.h
@@ -11,7 +11,7 @@
 namespace snowrudder
 {
 
-/** An answer of the administration API. */
+/** A response of the administration API. */
 struct AdminResponse
 {
     std::error_code error;
@@ -21,7 +21,7 @@
     [[nodiscard]] auto isGood() const -> bool { return ! error && status >= 200 && status < 300; }
 };
 
-/** Calls one administration API, one call at a time, and waits for each. */
+/** Blocking client of an administration API. */
 class AdminClient
 {
 public:
@@ -39,7 +39,7 @@
     std::string operatorKey;
 };
 
-/** @returns the key in a file's first line; empty where the file can't be read. */
+/** @returns the key in the first line of a file; empty if the file can't be read. */
 auto readKeyFile (const std::string& file) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_ctl/command/Commands.cpp
+++ b/modules/snowrudder_ctl/command/Commands.cpp
@@ -33,7 +33,7 @@
     return value.is_string() ? std::string (value.get_string()) : json::serialize (value);
 }
 
-/** @returns a member of an answer, or null. */
+/** @returns a member of a JSON object, or null if there is none. */
 auto memberIn (const json::value& value, std::string_view name) -> json::value
 {
     const auto* member = value.is_object() ? memberOf (value.get_object(), name) : nullptr;
@@ -58,7 +58,7 @@
             printError (textOf (entry));
 }
 
-/** Tells why the API did not do what was asked. */
+/** Prints the reason why a call to the API failed. */
 auto printFailure (const AdminResponse& response) -> ExitCode
 {
     if (response.error)
@@ -87,7 +87,7 @@
     return ExitCode::failed;
 }
 
-/** Prints an answer as it came, or as a function makes text of it. */
+/** Prints a response as JSON, or as text by means of a function. */
 auto printResponse (const CommandInput& input,
                     const AdminResponse& response,
                     const std::function<auto(const json::value&)->void>& printText) -> ExitCode
@@ -123,7 +123,7 @@
     return {};
 }
 
-/** @returns an argument as JSON, or as a string where it is none. */
+/** @returns an argument as JSON; one that is not valid JSON is converted to a JSON string. */
 auto valueOf (const std::string& text) -> std::string
 {
     boost::system::error_code error;
@@ -141,7 +141,7 @@
            textOf (memberIn (body, "edit_id")) + "\n");
 }
 
-/** @returns the revision that an edit starts from, or nothing once the failure has been told. */
+/** @returns the revision that an edit is based on, or nothing after printing the failure. */
 auto startingRevision (AdminClient& client, const CommandInput& input) -> std::optional<std::string>
 {
     if (! input.revision.empty())
@@ -162,7 +162,7 @@
            const std::string& path,
            const std::string& body) -> ExitCode
 {
-    // With a newer revision an edit that is stored already, and followed by others, would be stored once more.
+    // Based on a newer revision, a retry of an edit that is already stored and followed by others would store it again.
     if (! input.editId.empty() && input.revision.empty())
     {
         printError ("--edit-id needs the --revision that the edit was first asked for with");
--- a/modules/snowrudder_ctl/command/Commands.h
+++ b/modules/snowrudder_ctl/command/Commands.h
@@ -8,26 +8,26 @@
 namespace snowrudder
 {
 
-/** What a command is given. */
+/** The arguments and options of a command. */
 struct CommandInput
 {
-    /** The command's name, then its own arguments. */
+    /** The command's name followed by its arguments. */
     std::vector<std::string> words;
-    /** Whether the API's answer is printed as it came. */
+    /** Whether the API's response is printed as JSON. */
     bool asJson = false;
-    /** Makes asking again safe; one is drawn where it is empty. */
+    /** Identifier that makes retries idempotent; if empty, the API generates one. */
     std::string editId;
-    /** The revision that an edit starts from; the current one where it is empty. */
+    /** The revision that an edit is based on; if empty, the current one. */
     std::string revision;
 };
 
-/** Runs one command and prints its answer.
+/** Runs a command and prints the response.
 
     @returns the process's exit code
 */
 auto runCommand (AdminClient& client, const CommandInput& input) -> ExitCode;
 
-/** The commands, a line each, for `--help`. */
+/** The list of commands for `--help`. */
 inline constexpr auto commandHelp =
     std::string_view ("commands:\n"
                       "  get [PATH]        what is set in the tree, such as accounts/city/policy\n"
--- a/modules/snowrudder_ctl/snowrudder_ctl.h
+++ b/modules/snowrudder_ctl/snowrudder_ctl.h
@@ -1,7 +1,7 @@
 /** @file
-    snowrudder_ctl: the operators' command line, a client of the administration API.
+    snowrudder_ctl: the command-line client of the administration API for operators.
 
-    - command/  one call to the API for each command, its answer as text for people or as JSON
+    - command/  the commands: each calls the API and prints the response as text or JSON
 
     Depends on: snowrudder_core, snowrudder_net, snowrudder_settings.
 */
--- a/modules/snowrudder_platform/client/PlatformClient.cpp
+++ b/modules/snowrudder_platform/client/PlatformClient.cpp
@@ -16,7 +16,7 @@
              wholeNumberIn (object, "lease") };
 }
 
-/** What a write's answer, or the lack of one, proves. */
+/** @returns the outcome of a write, derived from its response or the lack of one. */
 auto writeOutcome (const SimpleAnswer& response) -> WriteOutcome
 {
     if (response.isGood())
--- a/modules/snowrudder_platform/client/PlatformClient.h
+++ b/modules/snowrudder_platform/client/PlatformClient.h
@@ -14,7 +14,7 @@
 namespace snowrudder
 {
 
-/** The key under which the key-value service holds the operators' tree. */
+/** The key of the settings tree in the key-value service. */
 inline constexpr auto treeStoreKey = "settings/tree";
 
 /** A value read from the key-value service. */
@@ -22,31 +22,31 @@
 {
     std::string key;
     std::string value;
-    /** 0 where the key is not there. */
+    /** 0 if the key does not exist. */
     std::uint64_t version = 0;
     std::uint64_t lease = 0;
 };
 
-/** What is known of a write. */
+/** The outcome of a write. */
 enum class WriteOutcome
 {
     done,
-    /** Another write came first. */
+    /** Another write took effect first. */
     conflict,
-    /** It did not take effect. */
+    /** The write did not take effect. */
     refused,
-    /** It may have taken effect: the answer was lost. Read back to know. */
+    /** The response was lost, so the write may have taken effect. Read the key back to find out. */
     unknown
 };
 
 struct WriteResult
 {
     WriteOutcome outcome = WriteOutcome::unknown;
-    /** The key's version, where `done` or `conflict`. */
+    /** The key's version if the outcome is `done` or `conflict`. */
     std::uint64_t version = 0;
 };
 
-/** The platform's service, as one event loop uses it. Every call is counted by its purpose in `/metrics`. */
+/** Client of the platform's service for use from one event loop. All calls are counted by purpose in `/metrics`. */
 class PlatformClient
 {
 public:
@@ -55,15 +55,15 @@
     {
     }
 
-    /** @returns the value, or nothing when the service did not answer. */
+    /** @returns the value, or nothing if the service did not respond. */
     auto read (std::string key, std::string_view purpose) -> Task<std::optional<StoredValue>>;
 
-    /** @returns all values below a prefix, or nothing when the service did not answer. */
+    /** @returns all values whose keys start with a prefix, or nothing if the service did not respond. */
     auto list (std::string prefix, std::string_view purpose) -> Task<std::optional<std::vector<StoredValue>>>;
 
-    /** Writes when the key's version is the expected one; an empty value removes the key.
+    /** Writes a value if the key's version is the expected one. An empty value removes the key.
 
-        @param lease  0, or the lease whose end removes the key
+        @param lease  0, or a lease; the key is removed when the lease ends
     */
     auto swap (std::string key,
                std::uint64_t expected,
@@ -71,22 +71,23 @@
                std::uint64_t lease,
                std::string_view purpose) -> Task<WriteResult>;
 
-    /** Waits until a key below a prefix is newer than a version.
+    /** Waits until a key that starts with a prefix has a version newer than the given one.
 
-        @returns the newest version, or nothing when the service did not answer
+        @param wait  maximum time that the service waits
+        @returns     the newest version, or nothing if the service did not respond
     */
     auto watch (std::string prefix, std::uint64_t after, Duration wait, std::string_view purpose)
         -> Task<std::optional<std::uint64_t>>;
 
-    /** @returns a new lease, or nothing. */
+    /** @returns a new lease, or nothing if the service did not grant one. */
     auto grantLease (Duration length) -> Task<std::optional<std::uint64_t>>;
 
-    /** @returns whether the lease is renewed: `refused` when it has ended. */
+    /** @returns the outcome of the renewal; `refused` if the lease has expired. */
     auto renewLease (std::uint64_t lease) -> Task<WriteOutcome>;
 
     auto endLease (std::uint64_t lease) -> Task<WriteOutcome>;
 
-    /** @returns the VM list's text, or nothing. */
+    /** @returns the text of the VM list, or nothing if the service did not respond. */
     auto vmList() -> Task<std::optional<std::string>>;
 
 private:
--- a/modules/snowrudder_platform/client/VmList.h
+++ b/modules/snowrudder_platform/client/VmList.h
@@ -11,7 +11,7 @@
 namespace snowrudder
 {
 
-/** One upstream replica on a VM. */
+/** An upstream replica on a VM. */
 struct VmReplica
 {
     std::string name;
@@ -21,7 +21,7 @@
     std::uint32_t slots = 16;
 };
 
-/** One VM as the platform lists it. */
+/** An entry of the platform's VM list. */
 struct Vm
 {
     std::string name;
@@ -29,17 +29,17 @@
     std::string machineClass;
     bool reclaimable = false;
     bool leaving = false;
-    /** What is left of a leaving VM's time, as the list told when it was made. */
+    /** Time until a leaving VM is removed, measured from the creation of the list. */
     std::chrono::milliseconds leavesIn {};
-    /** An hour's price. */
+    /** Price per hour. */
     double price = 1.0;
     std::vector<VmReplica> replicas;
 };
 
-/** Reads the platform's VM list. An entry that makes no sense is passed over and counted.
+/** Parses the platform's VM list. Invalid entries of VMs and replicas are skipped.
 
-    @param skipped  entries passed over
-    @returns        empty when the text is no VM list at all
+    @param skipped  incremented for each skipped entry
+    @returns        the VMs, or nothing if the text is not a VM list
 */
 auto parseVmList (std::string_view text, std::size_t& skipped) -> std::optional<std::vector<Vm>>;
 
--- a/modules/snowrudder_platform/snowrudder_platform.h
+++ b/modules/snowrudder_platform/snowrudder_platform.h
@@ -1,7 +1,7 @@
 /** @file
-    snowrudder_platform: the client of the platform's service.
+    snowrudder_platform: the client of the platform's service (key-value store, leases, VM list).
 
-    - client/  typed calls, each counted by purpose; a write whose answer was lost says so
+    - client/  typed calls, counted by purpose; a write whose response was lost is reported as such
 
     Depends on: snowrudder_core, snowrudder_net, Boost.JSON.
 */
