--- a/modules/snowrudder_admin/api/AdminHandler.cpp
+++ b/modules/snowrudder_admin/api/AdminHandler.cpp
@@ -1,6 +1,6 @@
 #include "AdminHandler.h"
 
-#include "../spread/TreeDistribution.h"
+#include "../spread/TreeSpread.h"
 #include "../store/EditProcedure.h"
 #include "AdminResponses.h"
 #include "EditHandler.h"
--- a/modules/snowrudder_admin/api/EditHandler.cpp
+++ b/modules/snowrudder_admin/api/EditHandler.cpp
@@ -1,6 +1,6 @@
 #include "EditHandler.h"
 
-#include "../spread/TreeDistribution.h"
+#include "../spread/TreeSpread.h"
 #include "AdminResponses.h"
 
 #include <charconv>
@@ -107,22 +107,22 @@
                     const EditResult& result) -> Task<void>
 {
     const auto revision = result.tree.revision;
-    const auto held = co_await distributeRevision (state, result.tree, acceptTimeout);
-    const auto accepted = isAccepted (held, revision);
+    const auto routerRevisions = co_await distributeRevision (state, result.tree, acceptTimeout);
+    const auto accepted = isAccepted (routerRevisions, revision);
 
     LogLine ("edit")
         .with ("edit_id", editRequest.id)
         .with ("author", editRequest.author)
         .with ("revision", revision)
         .with ("accepted", accepted ? "yes" : "no")
-        .with ("held_by", countHolders (held, revision))
+        .with ("held_by", countHolders (routerRevisions, revision))
         .info();
 
     json::object body;
     body["accepted"] = accepted;
     body["revision"] = revision;
     body["edit_id"] = editRequest.id;
-    body["held_by"] = countHolders (held, revision);
+    body["held_by"] = countHolders (routerRevisions, revision);
 
     if (! accepted)
         body["detail"] =
--- a/modules/snowrudder_admin/spread/TreeDistribution.cpp
+++ b/modules/snowrudder_admin/spread/TreeSpread.cpp
@@ -1,4 +1,4 @@
-#include "TreeDistribution.h"
+#include "TreeSpread.h"
 
 namespace snowrudder
 {
@@ -21,13 +21,13 @@
 auto sendTree (AdminState& state,
                const schema::Peer& router,
                const std::string& message,
-               RouterRevision& held) -> Task<void>
+               RouterRevision& routerRevision) -> Task<void>
 {
     const auto response = co_await callRouter (state, router, treeTarget, message);
     schema::TreeExchange reply;
 
     if (response.isGood() && reply.ParseFromString (response.body))
-        held.revision = reply.revision();
+        routerRevision.revision = reply.revision();
 }
 
 auto queryRouter (AdminState& state, const schema::Peer& router, RouterStatusResponse& statusResponse)
@@ -46,21 +46,23 @@
     message.set_revision (tree.revision);
     message.set_text (tree.text);
     const auto text = message.SerializeAsString();
-    std::vector<RouterRevision> held;
+    std::vector<RouterRevision> routerRevisions;
 
     for (const auto& router : state.settings.routers())
-        held.push_back ({ router.failure_domain(), 0 });
+        routerRevisions.push_back ({ router.failure_domain(), 0 });
 
     const auto deadline = SteadyClock::now() + timeout;
 
     for (;;)
     {
-        const auto sendOne = [&] (std::size_t index)
-        { return sendTree (state, state.settings.routers (static_cast<int> (index)), text, held[index]); };
-        co_await runAll (state.loop, held.size(), sendOne);
-
-        if (isAccepted (held, tree.revision) || SteadyClock::now() >= deadline)
-            co_return held;
+        const auto sendOne = [&] (std::size_t index) {
+            return sendTree (state, state.settings.routers (static_cast<int> (index)), text,
+                             routerRevisions[index]);
+        };
+        co_await runAll (state.loop, routerRevisions.size(), sendOne);
+
+        if (isAccepted (routerRevisions, tree.revision) || SteadyClock::now() >= deadline)
+            co_return routerRevisions;
 
         asio::steady_timer timer (state.loop, retryInterval);
         co_await timer.async_wait (asTuple);
--- a/modules/snowrudder_admin/store/EditProcedure.cpp
+++ b/modules/snowrudder_admin/store/EditProcedure.cpp
@@ -226,10 +226,10 @@
         return retry (Step::readSlot);
 
     slotVersion = response.value.version;
-    const auto kept = readHistoryEntry (response.value);
+    const auto slotEntry = readHistoryEntry (response.value);
 
     // Another operator's attempt may have written this revision to the history already.
-    step = kept && kept->revision == head.revision ? Step::writeHead : Step::writeSlot;
+    step = slotEntry && slotEntry->revision == head.revision ? Step::writeHead : Step::writeSlot;
 }
 
 auto EditProcedure::handleHeadWritten (const StoreResponse& response) -> void
@@ -249,30 +249,31 @@
 
 auto EditProcedure::handleReadBack (const StoreResponse& response) -> void
 {
-    auto now = response.outcome == WriteOutcome::done ? readStoredTree (response.value) : std::nullopt;
+    auto currentHead =
+        response.outcome == WriteOutcome::done ? readStoredTree (response.value) : std::nullopt;
 
-    if (! now)
+    if (! currentHead)
         return retry (Step::readBack);
 
-    if (now->editId == request.id)
+    if (currentHead->editId == request.id)
     {
-        head = std::move (*now);
+        head = std::move (*currentHead);
         return end (EditResult::Kind::stored);
     }
 
     // The edit is not stored yet. Repeating the write is safe, because only one write can replace this revision.
-    if (now->revision == head.revision)
+    if (currentHead->revision == head.revision)
         return retry (Step::writeHead);
 
     // The head is more than one edit ahead: either this edit is in the history, or another edit has its number.
-    if (now->number > head.number + 1 && mayBeStored)
+    if (currentHead->number > head.number + 1 && mayBeStored)
     {
         step = Step::readBackHistory;
         return;
     }
 
     baseTree = std::move (head);
-    head = std::move (*now);
+    head = std::move (*currentHead);
     end (EditResult::Kind::conflict);
 }
 
@@ -287,10 +288,10 @@
     if (! entry || entry->number != head.number + 1)
         return end (EditResult::Kind::unknown);
 
-    const auto isOurs = entry->editId == request.id;
+    const auto isThisEdit = entry->editId == request.id;
     baseTree = std::move (head);
     head = std::move (*entry);
-    end (isOurs ? EditResult::Kind::stored : EditResult::Kind::conflict);
+    end (isThisEdit ? EditResult::Kind::stored : EditResult::Kind::conflict);
 }
 
 auto EditProcedure::retry (Step nextStep) -> void
--- a/modules/snowrudder_ctl/command/AdminClient.cpp
+++ b/modules/snowrudder_ctl/command/AdminClient.cpp
@@ -34,21 +34,22 @@
 
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
-    SimpleAnswer got;
+    SimpleAnswer httpResponse;
 
     asio::co_spawn (
         loop,
         [&]() -> Task<void>
         {
             const CallTimeouts timeouts { connectTimeout, responseTimeout, responseTimeout };
-            got = co_await callOnce (pool, endpoint, std::move (request), timeouts);
+            httpResponse = co_await callOnce (pool, endpoint, std::move (request), timeouts);
             loop.stop();
         },
         asio::detached);
     loop.run();
 
-    boost::system::error_code unreadable;
-    AdminResponse response { got.error, got.status, json::parse (got.body, unreadable) };
+    boost::system::error_code parseError;
+    AdminResponse response { httpResponse.error, httpResponse.status,
+                             json::parse (httpResponse.body, parseError) };
     return response;
 }
 
--- a/modules/snowrudder_ctl/command/Commands.cpp
+++ b/modules/snowrudder_ctl/command/Commands.cpp
@@ -244,9 +244,9 @@
 auto diff (AdminClient& client, const CommandInput& input) -> ExitCode
 {
     const auto text = readFile (input.words[1]);
-    const auto wanted = text ? parseTree (*text) : std::nullopt;
+    const auto newTree = text ? parseTree (*text) : std::nullopt;
 
-    if (! wanted)
+    if (! newTree)
     {
         printError (input.words[1] + ": is not JSON");
         return ExitCode::settings;
@@ -255,7 +255,7 @@
     return printResponse (input, client.call (http::verb::get, settingsTarget),
                           [&] (const json::value& body)
                           {
-                              const auto changes = diffTrees (memberIn (body, "value"), *wanted);
+                              const auto changes = diffTrees (memberIn (body, "value"), *newTree);
 
                               for (const auto& change : changes)
                                   print (change.path + ": " + json::serialize (change.before) + " -> " +
