--- a/tests/unit/PlatformFaceTests.cpp
+++ b/tests/unit/PlatformFaceTests.cpp
@@ -32,7 +32,7 @@
     const std::string path = "platform-face-tests-" + std::to_string (getpid()) + ".conf";
 };
 
-const auto wholeSettings = std::string ("node_name=front-a-1\n"
+const auto validSettings = std::string ("node_name=front-a-1\n"
                                         "zone=a\n"
                                         "ip=127.0.0.1\n"
                                         "listen.front=127.0.0.1:8221\n"
@@ -61,21 +61,21 @@
     return message;
 }
 
-auto read (HttpRequest message) -> std::variant<CallerRequest, Problem>
+auto decode (HttpRequest message) -> std::variant<CallerRequest, Problem>
 {
     return platform::readRequest (message);
 }
 
-auto problemIn (HttpRequest message) -> bool
+auto isRejected (HttpRequest message) -> bool
 {
-    return std::holds_alternative<Problem> (read (std::move (message)));
+    return std::holds_alternative<Problem> (decode (std::move (message)));
 }
 
 } // namespace
 
 TEST_CASE ("the platform's settings are read, and unknown fields passed over")
 {
-    const SettingsFile file (wholeSettings);
+    const SettingsFile file (validSettings);
     ServingSettings settings;
     CHECK (platform::readBootSettings (file.path, settings).empty());
     CHECK (settings.node == "front-a-1");
@@ -101,7 +101,7 @@
 
 TEST_CASE ("a caller's request is decoded, and a replica gets neither its key nor what only nodes set")
 {
-    const auto decoded = read (callerMessage());
+    const auto decoded = decode (callerMessage());
     REQUIRE (std::holds_alternative<CallerRequest> (decoded));
     const auto& request = std::get<CallerRequest> (decoded);
     CHECK (request.id == "9c41");
@@ -121,7 +121,7 @@
 TEST_CASE ("a replica is told which of its incarnations is meant, how long the answer is of use, and how "
            "urgent it is")
 {
-    auto message = std::get<CallerRequest> (read (callerMessage())).message;
+    auto message = std::get<CallerRequest> (decode (callerMessage())).message;
     const auto protocol = platform::upstreamProtocol();
     protocol.setFields (message, { "i-1", "alpha", 700ms, 4, "" });
     CHECK (message["X-Target-Instance"] == "i-1");
@@ -159,9 +159,9 @@
     auto otherModel = first;
     otherModel.set ("X-Model", "n");
 
-    const auto one = std::get<CallerRequest> (read (first));
-    const auto two = std::get<CallerRequest> (read (second));
-    const auto three = std::get<CallerRequest> (read (otherModel));
+    const auto one = std::get<CallerRequest> (decode (first));
+    const auto two = std::get<CallerRequest> (decode (second));
+    const auto three = std::get<CallerRequest> (decode (otherModel));
     CHECK (one.promptTokens == 1460.0);
     CHECK (one.answerTokens == 80.0);
     REQUIRE (one.parts.size() == 3);
@@ -180,19 +180,19 @@
         return message;
     };
 
-    auto unnamed = callerMessage();
-    unnamed.erase ("X-Request-Id");
-    CHECK (problemIn (unnamed));
-    auto twice = callerMessage();
-    twice.insert ("X-Request-Id", "second");
-    CHECK (problemIn (twice));
-    CHECK (problemIn (with ("X-Deadline-Ms", "soon")));
-    CHECK (problemIn (with ("X-Deadline-Ms", "0")));
-    CHECK (problemIn (with ("X-Deadline-Ms", "-5")));
-    CHECK (problemIn (with ("X-Token-Count", "many,80")));
-    CHECK (problemIn (with ("X-Token-Count", "10,")));
-    CHECK (problemIn (with ("X-Prompt-Prefix", "5c1e")));
-    CHECK (problemIn (with ("X-Prompt-Prefix", "5c1e:x")));
+    auto withoutId = callerMessage();
+    withoutId.erase ("X-Request-Id");
+    CHECK (isRejected (withoutId));
+    auto withTwoIds = callerMessage();
+    withTwoIds.insert ("X-Request-Id", "second");
+    CHECK (isRejected (withTwoIds));
+    CHECK (isRejected (with ("X-Deadline-Ms", "soon")));
+    CHECK (isRejected (with ("X-Deadline-Ms", "0")));
+    CHECK (isRejected (with ("X-Deadline-Ms", "-5")));
+    CHECK (isRejected (with ("X-Token-Count", "many,80")));
+    CHECK (isRejected (with ("X-Token-Count", "10,")));
+    CHECK (isRejected (with ("X-Prompt-Prefix", "5c1e")));
+    CHECK (isRejected (with ("X-Prompt-Prefix", "5c1e:x")));
 }
 
 TEST_CASE ("an answer counts only when it is the request's own")
@@ -328,17 +328,17 @@
 
 TEST_CASE ("an entry of another writer names no replica")
 {
-    const std::string good =
+    const std::string validEntry =
         R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":64,"state":"ready","spot":false,"born":1700000000123})";
     StoredItem replica;
     replica.key = "servers/i-1";
-    replica.value = good;
+    replica.value = validEntry;
     const auto entry = platform::readReplica (replica);
     REQUIRE (entry);
     CHECK (entry->info.born == 1700000000123);
 
     // Each member of another type, out of its range or not named on the platform's pages, and the required ones missing.
-    const std::vector<std::pair<std::string, std::vector<std::string>>> wrong {
+    const std::vector<std::pair<std::string, std::vector<std::string>>> invalidMembers {
         { R"("service":"s")", { R"("service":7)", R"("service":"")", R"("x":1)" } },
         { R"("address":"10.0.0.1:80")",
           { R"("address":"10.0.0.1")", R"("address":"host:80")", R"("address":null)", R"("x":1)" } },
@@ -351,12 +351,12 @@
         { R"("born":1700000000123)", { R"("born":"1")", R"("born":1.5)", R"("born":-1)" } }
     };
 
-    for (const auto& [member, replacements] : wrong)
+    for (const auto& [member, replacements] : invalidMembers)
         for (const auto& replacement : replacements)
         {
             INFO (replacement);
-            replica.value = good;
-            replica.value.replace (good.find (member), member.size(), replacement);
+            replica.value = validEntry;
+            replica.value.replace (validEntry.find (member), member.size(), replacement);
             CHECK_FALSE (platform::readReplica (replica));
         }
 
