--- a/tests/unit/PlatformFaceTests.cpp
+++ b/tests/unit/PlatformFaceTests.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** A settings file that is gone at the test's end. */
+/** A settings file that is deleted by the destructor. */
 class SettingsFile
 {
 public:
@@ -28,7 +28,7 @@
     SettingsFile (const SettingsFile&) = delete;
     auto operator= (const SettingsFile&) -> SettingsFile& = delete;
 
-    /** Tests run in processes of their own, at the same time and in one folder. */
+    /** Contains the process id, as tests run in parallel processes that share one working directory. */
     const std::string path = "platform-face-tests-" + std::to_string (getpid()) + ".conf";
 };
 
@@ -73,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE ("the platform's settings are read, and unknown fields passed over")
+TEST_CASE ("the platform's settings are read, and unknown fields are ignored")
 {
     const SettingsFile file (validSettings);
     ServingSettings settings;
@@ -85,7 +85,7 @@
     CHECK (settings.revocation == 4s);
 }
 
-TEST_CASE ("what is wrong with the platform's settings is told with file, line and field")
+TEST_CASE ("errors in the platform's settings are reported with file, line and field")
 {
     ServingSettings settings;
     const SettingsFile file (
@@ -99,7 +99,7 @@
     CHECK (platform::readBootSettings ("not-there.conf", settings).size() == 1);
 }
 
-TEST_CASE ("a caller's request is decoded, and a replica gets neither its key nor what only nodes set")
+TEST_CASE ("a caller's request is decoded without its API key and the headers reserved for nodes")
 {
     const auto decoded = decode (callerMessage());
     REQUIRE (std::holds_alternative<CallerRequest> (decoded));
@@ -118,8 +118,7 @@
         CHECK (request.message.count (name) == 0);
 }
 
-TEST_CASE ("a replica is told which of its incarnations is meant, how long the answer is of use, and how "
-           "urgent it is")
+TEST_CASE ("a request to a replica has the target incarnation, the account, the deadline and the priority")
 {
     auto message = std::get<CallerRequest> (decode (callerMessage())).message;
     const auto protocol = platform::upstreamProtocol();
@@ -131,7 +130,7 @@
     CHECK (message.count ("Last-Event-Id") == 0);
 }
 
-TEST_CASE ("an account's priority goes before its route's")
+TEST_CASE ("an account's priority takes precedence over its route's")
 {
     Route route;
     route.priority = 2;
@@ -148,7 +147,7 @@
     CHECK (urgencyOf (request) == 9);
 }
 
-TEST_CASE ("a prompt's parts share a chain as far as they are the same")
+TEST_CASE ("prompts have the same chain of hashes up to the first part that differs")
 {
     auto first = callerMessage();
     first.set ("X-Model", "m");
@@ -171,7 +170,7 @@
     CHECK (one.parts[0].chain != three.parts[0].chain);
 }
 
-TEST_CASE ("malformed requests are told what is wrong")
+TEST_CASE ("requests with malformed headers are rejected")
 {
     const auto with = [] (const char* name, const char* value)
     {
@@ -195,7 +194,7 @@
     CHECK (isRejected (with ("X-Prompt-Prefix", "5c1e:x")));
 }
 
-TEST_CASE ("an answer counts only when it is the request's own")
+TEST_CASE ("a response belongs to a request only with its request id and a signature")
 {
     const auto protocol = platform::upstreamProtocol();
     http::response_header<> head;
@@ -216,7 +215,7 @@
     CHECK_FALSE (protocol.readAnswer (head, "9c41").isOwn);
 }
 
-TEST_CASE ("only a replica's own word says that it did not run a request")
+TEST_CASE ("a request counts as not run only when the replica's response states it")
 {
     const auto protocol = platform::upstreamProtocol();
     http::response_header<> head;
@@ -233,7 +232,7 @@
     CHECK (protocol.readAnswer (elsewhere, "9c41").isOtherReplica);
 }
 
-TEST_CASE ("when to come back is told in fractions of a second, and only where nothing ran")
+TEST_CASE ("Retry-After is in fractions of a second and only sent for requests that did not run")
 {
     const auto protocol = platform::upstreamProtocol();
     CHECK (protocol.problem (withRetry (makeProblem (ErrorKind::overloaded), 1050ms),
@@ -292,7 +291,7 @@
     CHECK_FALSE (platform::readReplica (replica));
 }
 
-TEST_CASE ("an order of a roll-out is decoded, and what operators read of it goes there and back")
+TEST_CASE ("a rollout is decoded, and its status is unchanged after encoding and decoding")
 {
     StoredItem order;
     order.key = "op/rollout/s";
@@ -326,7 +325,7 @@
     }
 }
 
-TEST_CASE ("an entry of another writer names no replica")
+TEST_CASE ("a replica's entry that does not follow the platform's format is rejected")
 {
     const std::string validEntry =
         R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":64,"state":"ready","spot":false,"born":1700000000123})";
@@ -337,7 +336,8 @@
     REQUIRE (entry);
     CHECK (entry->info.born == 1700000000123);
 
-    // Each member of another type, out of its range or not named on the platform's pages, and the required ones missing.
+    // Each member with a wrong type, a value out of range or one that the platform does not define, and each required
+    // member missing.
     const std::vector<std::pair<std::string, std::vector<std::string>>> invalidMembers {
         { R"("service":"s")", { R"("service":7)", R"("service":"")", R"("x":1)" } },
         { R"("address":"10.0.0.1:80")",
