--- a/modules/snowrudder_fakes/engine/AnswerText.cpp
+++ b/modules/snowrudder_fakes/engine/AnswerText.cpp
@@ -10,22 +10,22 @@
 namespace
 {
 
-constexpr auto wordLetters = 5;
+constexpr auto lettersPerWord = 5;
 constexpr auto letterCount = std::uint64_t { 26 };
-constexpr auto shortestAnswer = std::uint32_t { 24 };
-constexpr auto answerSpread = std::uint32_t { 489 };
+constexpr auto minAnswerWords = std::uint32_t { 24 };
+constexpr auto answerLengthRange = std::uint32_t { 489 };
 
 template <typename Visitor>
 auto forEachWord (std::string_view text, Visitor&& visit) -> void
 {
-    constexpr auto blanks = std::string_view (" \n\t\r");
-    auto start = text.find_first_not_of (blanks);
+    constexpr auto whitespace = std::string_view (" \n\t\r");
+    auto start = text.find_first_not_of (whitespace);
 
     while (start != std::string_view::npos)
     {
-        const auto end = text.find_first_of (blanks, start);
+        const auto end = text.find_first_of (whitespace, start);
         visit (text.substr (start, end - start));
-        start = text.find_first_not_of (blanks, end);
+        start = text.find_first_not_of (whitespace, end);
     }
 }
 
@@ -55,7 +55,7 @@
     auto bits = combineHashes (seed, position);
     std::string word = position == 0 ? "" : " ";
 
-    for (auto letter = 0; letter < wordLetters; ++letter)
+    for (auto letter = 0; letter < lettersPerWord; ++letter)
     {
         word += static_cast<char> ('a' + bits % letterCount);
         bits /= letterCount;
@@ -66,7 +66,7 @@
 
 auto answerLength (std::uint64_t seed) -> std::uint32_t
 {
-    return shortestAnswer + static_cast<std::uint32_t> (seed % answerSpread);
+    return minAnswerWords + static_cast<std::uint32_t> (seed % answerLengthRange);
 }
 
 auto expectedAnswer (std::uint64_t seed, std::uint32_t maxTokens) -> std::string
--- a/modules/snowrudder_fakes/engine/EngineModel.cpp
+++ b/modules/snowrudder_fakes/engine/EngineModel.cpp
@@ -24,16 +24,16 @@
 
 auto EngineModel::cancel (std::uint64_t id) -> void
 {
-    const auto isWanted = [id] (const auto& entry) { return entry.id == id; };
+    const auto hasId = [id] (const auto& entry) { return entry.id == id; };
 
     for (auto& [priority, queue] : queues)
     {
-        const auto removed = std::erase_if (queue, isWanted);
+        const auto removed = std::erase_if (queue, hasId);
         waitingCount -= static_cast<std::uint32_t> (removed);
         totals.cancelled += removed;
     }
 
-    const auto slot = std::ranges::find_if (slots, isWanted, &Slot::request);
+    const auto slot = std::ranges::find_if (slots, hasId, &Slot::request);
 
     if (slot == slots.end())
         return;
@@ -112,7 +112,7 @@
             totals.computedPromptTokens += slot.uncomputed;
             totals.cachedPromptTokens += slot.cachedTokens;
 
-            holdBlocks (slot, cachedBlocks);
+            pinBlocks (slot, cachedBlocks);
             slots.push_back (std::move (slot));
         }
     }
@@ -132,7 +132,7 @@
         budget -= computed;
 
         if (slot.uncomputed == 0)
-            holdBlocks (slot, slot.chain.blocks.size());
+            pinBlocks (slot, slot.chain.blocks.size());
     }
 }
 
@@ -144,8 +144,8 @@
 
     slot.chain.add (wordHashes (step.text).front(), limits.blockTokens);
 
-    if (slot.chain.blocks.size() > slot.pinned)
-        holdBlocks (slot, slot.chain.blocks.size());
+    if (slot.chain.blocks.size() > slot.pinnedBlocks)
+        pinBlocks (slot, slot.chain.blocks.size());
 
     ++slot.position;
     ++totals.generatedTokens;
@@ -161,17 +161,17 @@
     return step;
 }
 
-auto EngineModel::holdBlocks (Slot& slot, std::size_t count) -> void
+auto EngineModel::pinBlocks (Slot& slot, std::size_t count) -> void
 {
     const auto blocks = std::span (slot.chain.blocks).first (count);
     cache.store (blocks);
-    cache.pin (blocks.subspan (slot.pinned));
-    slot.pinned = count;
+    cache.pin (blocks.subspan (slot.pinnedBlocks));
+    slot.pinnedBlocks = count;
 }
 
 auto EngineModel::release (const Slot& slot) -> void
 {
-    cache.unpin (std::span (slot.chain.blocks).first (slot.pinned));
+    cache.unpin (std::span (slot.chain.blocks).first (slot.pinnedBlocks));
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_fakes/engine/EngineModel.h
+++ b/modules/snowrudder_fakes/engine/EngineModel.h
@@ -111,13 +111,13 @@
         std::uint32_t uncomputed = 0;
         std::uint32_t position = 0;
         /** Leading blocks that this slot holds in the cache. */
-        std::size_t pinned = 0;
+        std::size_t pinnedBlocks = 0;
     };
 
     auto admit() -> void;
     auto computePrompts() -> void;
     auto generate (Slot& slot) -> EngineStep;
-    auto holdBlocks (Slot& slot, std::size_t count) -> void;
+    auto pinBlocks (Slot& slot, std::size_t count) -> void;
     auto release (const Slot& slot) -> void;
 
     EngineLimits limits;
--- a/modules/snowrudder_fakes/engine/FakeEngine.cpp
+++ b/modules/snowrudder_fakes/engine/FakeEngine.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr auto keptEvents = std::size_t { 65536 };
+constexpr auto maxKeptEvents = std::size_t { 65536 };
 constexpr auto idleWait = 100ms;
 
 auto engineLimitsOf (const schema::FakeEngineSettings& settings) -> EngineLimits
@@ -39,16 +39,16 @@
 
 auto stepTime (const schema::FakeEngineSettings& settings) -> Duration
 {
-    constexpr auto usual = 15'000U;
+    constexpr auto defaultStep = 15'000U;
     return std::chrono::microseconds (settings.has_step_microseconds() ? settings.step_microseconds()
-                                                                       : usual);
+                                                                       : defaultStep);
 }
 
 /** The prompt without the part of the answer that the engine is to go on with. */
 struct SplitPrompt
 {
     std::string prompt;
-    std::string begun;
+    std::string continuation;
 };
 
 auto splitPrompt (json::object body) -> SplitPrompt
@@ -59,7 +59,7 @@
 
     if (continues && messages.size() > 1)
     {
-        split.begun = textIn (messages.back().get_object(), "content");
+        split.continuation = textIn (messages.back().get_object(), "content");
         messages.pop_back();
     }
 
@@ -74,11 +74,11 @@
     EngineRequest engineRequest;
     engineRequest.id = id;
     engineRequest.seed = answerSeed (request.model, split.prompt);
-    engineRequest.firstPosition = countWords (split.begun);
+    engineRequest.firstPosition = countWords (split.continuation);
     engineRequest.lastPosition = answerLength (engineRequest.seed);
     engineRequest.priority = static_cast<std::uint32_t> (numberIn (request.body, "priority", 5));
     engineRequest.cacheSalt = hashBytes (textIn (request.body, "cache_salt"));
-    engineRequest.promptTokens = wordHashes (split.prompt + " " + split.begun);
+    engineRequest.promptTokens = wordHashes (split.prompt + " " + split.continuation);
 
     if (request.maxTokens > 0)
         engineRequest.lastPosition =
@@ -143,7 +143,7 @@
 
     for (;;)
     {
-        noteReports();
+        recordReports();
 
         if (model.isIdle())
         {
@@ -175,7 +175,7 @@
     }
 }
 
-auto FakeEngine::noteReports() -> void
+auto FakeEngine::recordReports() -> void
 {
     const auto now = SteadyClock::now();
     reports.push_back ({ now,
@@ -195,14 +195,14 @@
 
     for (const auto& event : model.prefixCache().takeEvents())
     {
-        gapState = combineHashes (gapState, event.block);
-        const auto isLost = static_cast<double> (gapState % 10'000) < settings.event_gap_share() * 10'000;
+        gapHash = combineHashes (gapHash, event.block);
+        const auto isLost = static_cast<double> (gapHash % 10'000) < settings.event_gap_share() * 10'000;
         const auto number = nextEvent++;
 
         if (! isLost)
             cacheEvents.push_back ({ number, event });
 
-        if (cacheEvents.size() > keptEvents)
+        if (cacheEvents.size() > maxKeptEvents)
             cacheEvents.pop_front();
     }
 }
@@ -317,8 +317,9 @@
         {
             const auto step = std::move (stream->steps.front());
             stream->steps.pop_front();
-            text += faults.nonsense ? "data: {\"broken\n\n"
-                                    : chunkText (step, continuousUsage || (includeUsage && step.finished));
+            text += faults.sendsMalformed
+                        ? "data: {\"broken\n\n"
+                        : chunkText (step, continuousUsage || (includeUsage && step.finished));
             isFinished = step.finished;
         }
 
@@ -416,7 +417,7 @@
 
 auto FakeEngine::handleLoad (Exchange& exchange) -> Task<void>
 {
-    noteReports();
+    recordReports();
     co_await respondJson (exchange, http::status::ok, reports.front().figures);
 }
 
@@ -475,7 +476,7 @@
     faults.refuse = flagIn (body, "refuse", faults.refuse);
     faults.stall = flagIn (body, "stall", faults.stall);
     faults.cut = flagIn (body, "cut", faults.cut);
-    faults.nonsense = flagIn (body, "nonsense", faults.nonsense);
+    faults.sendsMalformed = flagIn (body, "nonsense", faults.sendsMalformed);
     faults.leaving = flagIn (body, "leaving", faults.leaving);
 
     for (const auto& [id, stream] : streams)
@@ -483,7 +484,7 @@
 
     co_await respondJson (exchange, http::status::ok,
                           makeObject ("refuse", faults.refuse, "stall", faults.stall, "cut", faults.cut,
-                                      "nonsense", faults.nonsense, "leaving", faults.leaving));
+                                      "nonsense", faults.sendsMalformed, "leaving", faults.leaving));
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_fakes/engine/FakeEngine.h
+++ b/modules/snowrudder_fakes/engine/FakeEngine.h
@@ -23,7 +23,7 @@
     /** Streams are cut without an end. */
     bool cut = false;
     /** Chunks are not JSON. */
-    bool nonsense = false;
+    bool sendsMalformed = false;
     /** The engine says that it leaves: /load tells so, new requests are refused. */
     bool leaving = false;
 };
@@ -74,7 +74,7 @@
 
     auto stepLoop() -> Task<void>;
     auto deliver (std::vector<EngineStep> steps) -> void;
-    auto noteReports() -> void;
+    auto recordReports() -> void;
 
     auto handleChat (Exchange& exchange) -> Task<void>;
     auto streamAnswer (Exchange& exchange,
@@ -105,7 +105,7 @@
     std::deque<LoadReport> reports;
     std::deque<NumberedEvent> cacheEvents;
     std::uint64_t nextEvent = 1;
-    std::uint64_t gapState = 1;
+    std::uint64_t gapHash = 1;
     std::uint64_t fence = 0;
     std::string loadedVersion;
     std::string role = "serving";
--- a/modules/snowrudder_fakes/engine/PrefixCache.cpp
+++ b/modules/snowrudder_fakes/engine/PrefixCache.cpp
@@ -9,20 +9,20 @@
 
 auto BlockChain::add (std::uint64_t token, std::uint32_t blockTokens) -> void
 {
-    openHash = combineHashes (openHash, token);
+    partialHash = combineHashes (partialHash, token);
 
-    if (++openTokens < blockTokens)
+    if (++partialTokens < blockTokens)
         return;
 
-    blocks.push_back (openHash);
-    openTokens = 0;
+    blocks.push_back (partialHash);
+    partialTokens = 0;
 }
 
 auto makeChain (std::span<const std::uint64_t> tokens, std::uint32_t blockTokens, std::uint64_t salt)
     -> BlockChain
 {
     BlockChain chain;
-    chain.openHash = salt;
+    chain.partialHash = salt;
 
     for (const auto token : tokens)
         chain.add (token, blockTokens);
@@ -42,20 +42,20 @@
 
 auto PrefixCache::store (std::span<const std::uint64_t> blocks) -> void
 {
-    for (auto place = blocks.rbegin(); place != blocks.rend(); ++place)
+    for (auto position = blocks.rbegin(); position != blocks.rend(); ++position)
     {
-        const auto block = *place;
+        const auto block = *position;
         const auto [found, isNew] = entries.try_emplace (block);
         auto& entry = found->second;
 
         if (isNew)
         {
-            entry.place = leastRecentFirst.insert (leastRecentFirst.end(), block);
+            entry.position = leastRecentlyUsed.insert (leastRecentlyUsed.end(), block);
             events.push_back ({ block, true });
         }
         else
         {
-            leastRecentFirst.splice (leastRecentFirst.end(), leastRecentFirst, entry.place);
+            leastRecentlyUsed.splice (leastRecentlyUsed.end(), leastRecentlyUsed, entry.position);
         }
     }
 
@@ -78,10 +78,10 @@
 
 auto PrefixCache::clear() -> void
 {
-    const auto keep = capacity;
+    const auto savedCapacity = capacity;
     capacity = 0;
     evict();
-    capacity = keep;
+    capacity = savedCapacity;
 }
 
 auto PrefixCache::takeEvents() -> std::vector<CacheEvent>
@@ -91,21 +91,21 @@
 
 auto PrefixCache::evict() -> void
 {
-    auto place = leastRecentFirst.begin();
+    auto position = leastRecentlyUsed.begin();
 
-    while (entries.size() > capacity && place != leastRecentFirst.end())
+    while (entries.size() > capacity && position != leastRecentlyUsed.end())
     {
-        const auto found = entries.find (*place);
+        const auto found = entries.find (*position);
 
         if (found->second.pins > 0)
         {
-            ++place;
+            ++position;
             continue;
         }
 
-        events.push_back ({ *place, false });
+        events.push_back ({ *position, false });
         entries.erase (found);
-        place = leastRecentFirst.erase (place);
+        position = leastRecentlyUsed.erase (position);
     }
 }
 
--- a/modules/snowrudder_fakes/engine/PrefixCache.h
+++ b/modules/snowrudder_fakes/engine/PrefixCache.h
@@ -14,8 +14,8 @@
 {
     std::vector<std::uint64_t> blocks;
     /** Hash and count of the tokens behind the last whole block. */
-    std::uint64_t openHash = 0;
-    std::uint32_t openTokens = 0;
+    std::uint64_t partialHash = 0;
+    std::uint32_t partialTokens = 0;
 
     /** Adds a token. */
     auto add (std::uint64_t token, std::uint32_t blockTokens) -> void;
@@ -42,7 +42,7 @@
 class PrefixCache
 {
 public:
-    explicit PrefixCache (std::size_t mostBlocks) : capacity (mostBlocks) {}
+    explicit PrefixCache (std::size_t maxBlocks) : capacity (maxBlocks) {}
 
     /** @returns how many leading blocks are cached. */
     [[nodiscard]] auto countCached (std::span<const std::uint64_t> blocks) const -> std::size_t;
@@ -66,14 +66,14 @@
     struct Entry
     {
         std::uint32_t pins = 0;
-        std::list<std::uint64_t>::iterator place;
+        std::list<std::uint64_t>::iterator position;
     };
 
     auto evict() -> void;
 
     std::size_t capacity;
     std::unordered_map<std::uint64_t, Entry> entries;
-    std::list<std::uint64_t> leastRecentFirst;
+    std::list<std::uint64_t> leastRecentlyUsed;
     std::vector<CacheEvent> events;
 };
 
--- a/modules/snowrudder_fakes/platform/FakePlatform.cpp
+++ b/modules/snowrudder_fakes/platform/FakePlatform.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr auto treeKey = "settings/tree";
-constexpr auto watchStep = 20ms;
+constexpr auto settingsTreeKey = "settings/tree";
+constexpr auto watchPollInterval = 20ms;
 
-auto readText (const std::filesystem::path& file) -> std::string
+auto readFile (const std::filesystem::path& file) -> std::string
 {
     std::ifstream stream (file, std::ios::binary);
     std::ostringstream text;
@@ -50,12 +50,12 @@
 
     if (! settings.settings_tree().empty())
     {
-        const auto text = readText (folder / settings.settings_tree());
+        const auto text = readFile (folder / settings.settings_tree());
 
         if (text.empty())
             return "can't read " + settings.settings_tree();
 
-        keyValues.swap (treeKey, 0, text, 0);
+        keyValues.swap (settingsTreeKey, 0, text, 0);
     }
 
     if (settings.vm_list().empty())
@@ -64,7 +64,7 @@
     boost::system::error_code error;
     json::parse_options options;
     options.allow_comments = true;
-    auto value = json::parse (readText (folder / settings.vm_list()), error, {}, options);
+    auto value = json::parse (readFile (folder / settings.vm_list()), error, {}, options);
 
     if (error || ! value.is_object())
         return "can't read " + settings.vm_list();
@@ -112,16 +112,16 @@
     return respondJson (exchange, http::status::not_found, makeObject ("error", "no such path"));
 }
 
-auto FakePlatform::CallBudget::take (TimePoint now) -> bool
+auto FakePlatform::CallRateLimiter::take (TimePoint now) -> bool
 {
-    const auto passed = std::chrono::duration<double> (now - filled).count();
-    left = std::min (perSecond, left + passed * perSecond);
-    filled = now;
+    const auto passed = std::chrono::duration<double> (now - lastRefill).count();
+    available = std::min (perSecond, available + passed * perSecond);
+    lastRefill = now;
 
-    if (left < 1.0)
+    if (available < 1.0)
         return false;
 
-    left -= 1.0;
+    available -= 1.0;
     return true;
 }
 
@@ -149,9 +149,9 @@
         co_await pause (50ms);
 }
 
-auto FakePlatform::takeCall (CallBudget& budget) -> bool
+auto FakePlatform::admitCall (CallRateLimiter& limiter) -> bool
 {
-    if (budget.take (SteadyClock::now()))
+    if (limiter.take (SteadyClock::now()))
         return true;
 
     ++counts.limited;
@@ -163,7 +163,7 @@
     co_await waitWhileDown();
     const auto isSwap = path == "/kv/swap";
 
-    if (! takeCall (isSwap ? writes : reads))
+    if (! admitCall (isSwap ? writes : reads))
     {
         co_await respondJson (exchange, http::status::too_many_requests,
                               makeObject ("error", "over the rate"));
@@ -231,7 +231,7 @@
         SteadyClock::now() + std::chrono::milliseconds (wholeNumberIn (body, "wait_milliseconds"));
 
     while (SteadyClock::now() < end && (keyValues.newestVersion (prefix) <= after || faults.keyValueDown))
-        co_await pause (watchStep);
+        co_await pause (watchPollInterval);
 
     co_await respondJson (exchange, http::status::ok,
                           makeObject ("version", keyValues.newestVersion (prefix)));
@@ -241,7 +241,7 @@
 {
     co_await waitWhileDown();
 
-    if (! takeCall (writes))
+    if (! admitCall (writes))
     {
         co_await respondJson (exchange, http::status::too_many_requests,
                               makeObject ("error", "over the rate"));
@@ -330,9 +330,9 @@
     const auto body = jsonBody (exchange);
     const auto token = textIn (body, "token");
 
-    if (const auto known = startedByToken.find (token); known != startedByToken.end())
+    if (const auto started = startedByToken.find (token); started != startedByToken.end())
     {
-        co_await respondJson (exchange, http::status::ok, makeObject ("vm", known->second));
+        co_await respondJson (exchange, http::status::ok, makeObject ("vm", started->second));
         co_return;
     }
 
@@ -392,12 +392,12 @@
     auto list = vmList;
     auto& vms = list["vms"].get_array();
 
-    for (auto place = vms.begin(); place != vms.end();)
+    for (auto position = vms.begin(); position != vms.end();)
     {
-        if (textIn (place->get_object(), "name") == name)
-            place = vms.erase (place);
+        if (textIn (position->get_object(), "name") == name)
+            position = vms.erase (position);
         else
-            ++place;
+            ++position;
     }
 
     setVmList (std::move (list));
@@ -405,9 +405,9 @@
 
 auto FakePlatform::handleWeights (Exchange& exchange) -> Task<void>
 {
-    constexpr auto usualRate = 1e9;
+    constexpr auto defaultRate = 1e9;
     const auto rate =
-        settings.has_weight_store_bytes_per_second() ? settings.weight_store_bytes_per_second() : usualRate;
+        settings.has_weight_store_bytes_per_second() ? settings.weight_store_bytes_per_second() : defaultRate;
     const auto seconds = std::chrono::duration<double> (numberIn (jsonBody (exchange), "bytes", 0) / rate);
 
     weightsFreeAt =
--- a/modules/snowrudder_fakes/platform/FakePlatform.h
+++ b/modules/snowrudder_fakes/platform/FakePlatform.h
@@ -66,16 +66,16 @@
 
 private:
     /** A budget of calls a second that fills evenly. */
-    struct CallBudget
+    struct CallRateLimiter
     {
         double perSecond = 1e9;
-        double left = 0.0;
-        TimePoint filled {};
+        double available = 0.0;
+        TimePoint lastRefill {};
 
         auto take (TimePoint now) -> bool;
     };
 
-    struct PastList
+    struct TimedVmList
     {
         TimePoint time;
         boost::json::object list;
@@ -96,7 +96,7 @@
     auto pause (Duration time) -> Task<void>;
     auto expireLoop() -> Task<void>;
     auto waitWhileDown() -> Task<void>;
-    auto takeCall (CallBudget& budget) -> bool;
+    auto admitCall (CallRateLimiter& limiter) -> bool;
     auto setVmList (boost::json::object list) -> void;
     auto removeVm (std::string name, Duration after) -> Task<void>;
 
@@ -105,9 +105,9 @@
     KeyValueModel keyValues;
     PlatformFaults faults;
     PlatformCounts counts;
-    CallBudget reads;
-    CallBudget writes;
-    std::deque<PastList> vmLists;
+    CallRateLimiter reads;
+    CallRateLimiter writes;
+    std::deque<TimedVmList> vmLists;
     boost::json::object vmList;
     boost::json::object prices;
     std::map<std::string, std::string> startedByToken;
--- a/modules/snowrudder_fakes/platform/KeyValueModel.cpp
+++ b/modules/snowrudder_fakes/platform/KeyValueModel.cpp
@@ -15,9 +15,9 @@
 {
     std::map<std::string, KeyValue> matches;
 
-    for (auto place = values.lower_bound (prefix); place != values.end() && place->first.starts_with (prefix);
-         ++place)
-        matches.insert (*place);
+    for (auto position = values.lower_bound (prefix);
+         position != values.end() && position->first.starts_with (prefix); ++position)
+        matches.insert (*position);
 
     return matches;
 }
@@ -27,7 +27,7 @@
                           std::string value,
                           std::uint64_t lease) -> std::optional<SwapResult>
 {
-    if (value.size() > largestValue || (lease != 0 && ! leases.contains (lease)))
+    if (value.size() > maxValueBytes || (lease != 0 && ! leases.contains (lease)))
         return {};
 
     const auto current = read (key).version;
@@ -71,16 +71,16 @@
 {
     leases.erase (lease);
 
-    for (auto place = values.begin(); place != values.end();)
+    for (auto position = values.begin(); position != values.end();)
     {
-        if (place->second.lease != lease)
+        if (position->second.lease != lease)
         {
-            ++place;
+            ++position;
             continue;
         }
 
-        removals[place->first] = ++version;
-        place = values.erase (place);
+        removals[position->first] = ++version;
+        position = values.erase (position);
     }
 }
 
@@ -103,9 +103,9 @@
     for (const auto& [key, value] : list (prefix))
         newest = std::max (newest, value.version);
 
-    for (auto place = removals.lower_bound (prefix);
-         place != removals.end() && place->first.starts_with (prefix); ++place)
-        newest = std::max (newest, place->second);
+    for (auto position = removals.lower_bound (prefix);
+         position != removals.end() && position->first.starts_with (prefix); ++position)
+        newest = std::max (newest, position->second);
 
     return newest;
 }
--- a/modules/snowrudder_fakes/platform/KeyValueModel.h
+++ b/modules/snowrudder_fakes/platform/KeyValueModel.h
@@ -33,7 +33,7 @@
 class KeyValueModel
 {
 public:
-    static constexpr auto largestValue = std::size_t { 1024 * 1024 };
+    static constexpr auto maxValueBytes = std::size_t { 1024 * 1024 };
 
     /** @returns the key's value; version 0 where there is none. */
     [[nodiscard]] auto read (const std::string& key) const -> KeyValue;
--- a/modules/snowrudder_fakes/service/FakeService.cpp
+++ b/modules/snowrudder_fakes/service/FakeService.cpp
@@ -10,24 +10,24 @@
 namespace
 {
 
-constexpr auto largestAnswer = std::size_t { 64 * 1024 * 1024 };
+constexpr auto maxAnswerBytes = std::size_t { 64 * 1024 * 1024 };
 
 /** Calls a function at its end. */
 template <typename Function>
-class Finally
+class ScopeExit
 {
 public:
-    explicit Finally (Function endFunction) : function (std::move (endFunction)) {}
-    ~Finally() { function(); }
+    explicit ScopeExit (Function endFunction) : function (std::move (endFunction)) {}
+    ~ScopeExit() { function(); }
 
-    Finally (const Finally&) = delete;
-    auto operator= (const Finally&) -> Finally& = delete;
+    ScopeExit (const ScopeExit&) = delete;
+    auto operator= (const ScopeExit&) -> ScopeExit& = delete;
 
 private:
     Function function;
 };
 
-auto numberBehind (std::string_view path, std::string_view prefix) -> std::size_t
+auto parseNumberAfter (std::string_view path, std::string_view prefix) -> std::size_t
 {
     return std::strtoull (std::string (path.substr (prefix.size())).c_str(), nullptr, 10);
 }
@@ -61,7 +61,7 @@
     const auto count = ++runs[key];
     ++total;
     ++running;
-    const auto notRunning = Finally ([this] { --running; });
+    const auto decrementOnExit = ScopeExit ([this] { --running; });
 
     if (settings.work_milliseconds() > 0)
     {
@@ -80,14 +80,14 @@
 
     if (path.starts_with ("/status/"))
     {
-        const auto status = static_cast<http::status> (numberBehind (path, "/status/"));
+        const auto status = static_cast<http::status> (parseNumberAfter (path, "/status/"));
         co_await exchange.respond (status, "text/plain", "status\n");
         co_return;
     }
 
     if (path.starts_with ("/bytes/"))
     {
-        const auto size = std::min (numberBehind (path, "/bytes/"), largestAnswer);
+        const auto size = std::min (parseNumberAfter (path, "/bytes/"), maxAnswerBytes);
         co_await exchange.respond (http::status::ok, "application/octet-stream", std::string (size, 'b'));
         co_return;
     }
--- a/modules/snowrudder_load/client/Caller.cpp
+++ b/modules/snowrudder_load/client/Caller.cpp
@@ -12,21 +12,21 @@
 namespace
 {
 
-constexpr auto mostTries = 8;
-constexpr auto largestBody = std::size_t { 16 * 1024 * 1024 };
+constexpr auto maxAttempts = 8;
+constexpr auto maxBodyBytes = std::size_t { 16 * 1024 * 1024 };
 
 /** What one request has seen so far. */
 struct Progress
 {
-    TimePoint begun {};
+    TimePoint startTime {};
     TimePoint lastToken {};
     std::string requestId;
     std::string text;
     std::size_t lastEvent = 0;
-    bool sawFinish = false;
+    bool hasFinishReason = false;
     bool isDone = false;
-    bool isDoubled = false;
-    bool isGapped = false;
+    bool hasDuplicate = false;
+    bool hasGap = false;
     /** The kind of the error that ended it; empty while there is none. */
     std::string errorKind;
     std::string ran;
@@ -35,7 +35,7 @@
     Duration longestGap {};
     Duration summedGaps {};
     std::uint64_t tokens = 0;
-    bool reachedRouter = false;
+    bool hasResponse = false;
 };
 
 auto pickRouter (CallerThread& thread) -> tcp::endpoint
@@ -74,13 +74,13 @@
     return request;
 }
 
-auto takeContent (Progress& progress, std::string_view content) -> void
+auto appendContent (Progress& progress, std::string_view content) -> void
 {
     const auto now = SteadyClock::now();
 
     if (progress.tokens == 0)
     {
-        progress.firstToken = now - progress.begun;
+        progress.firstToken = now - progress.startTime;
     }
     else
     {
@@ -93,7 +93,7 @@
     progress.text += content;
 }
 
-auto takeProblem (Progress& progress, const json::value& value) -> void
+auto recordProblem (Progress& progress, const json::value& value) -> void
 {
     boost::system::error_code error;
     const auto* kind = value.find_pointer ("/kind", error);
@@ -103,7 +103,7 @@
 }
 
 /** Takes one event's data. The events' identifiers are checked by the reader below. */
-auto takeEvent (Progress& progress, std::string_view data) -> void
+auto processEvent (Progress& progress, std::string_view data) -> void
 {
     if (data == "[DONE]")
     {
@@ -116,27 +116,27 @@
 
     if (error)
     {
-        progress.isGapped = true;
+        progress.hasGap = true;
         return;
     }
 
     if (value.is_object() && value.get_object().contains ("kind"))
     {
-        takeProblem (progress, value);
+        recordProblem (progress, value);
         return;
     }
 
     if (const auto* content = value.find_pointer ("/choices/0/delta/content", error);
         content != nullptr && content->is_string())
-        takeContent (progress, toView (content->get_string()));
+        appendContent (progress, toView (content->get_string()));
 
     if (const auto* reason = value.find_pointer ("/choices/0/finish_reason", error);
         reason != nullptr && reason->is_string())
-        progress.sawFinish = true;
+        progress.hasFinishReason = true;
 }
 
 /** Cuts a router's stream into events and checks that their numbers have neither gap nor repeat. */
-class NumberedEvents
+class NumberedEventReader
 {
 public:
     auto add (Progress& progress, std::string_view bytes) -> void
@@ -145,13 +145,13 @@
 
         for (auto end = buffer.find ("\n\n"); end != std::string::npos; end = buffer.find ("\n\n"))
         {
-            take (progress, std::string_view (buffer).substr (0, end));
+            readEvent (progress, std::string_view (buffer).substr (0, end));
             buffer.erase (0, end + 2);
         }
     }
 
 private:
-    static auto take (Progress& progress, std::string_view event) -> void
+    static auto readEvent (Progress& progress, std::string_view event) -> void
     {
         constexpr auto idField = std::string_view ("id: ");
         constexpr auto dataField = std::string_view ("data: ");
@@ -160,20 +160,20 @@
         {
             auto number = std::size_t { 0 };
             std::from_chars (event.data() + idField.size(), event.data() + event.size(), number);
-            progress.isDoubled = progress.isDoubled || number <= progress.lastEvent;
-            progress.isGapped = progress.isGapped || number > progress.lastEvent + 1;
+            progress.hasDuplicate = progress.hasDuplicate || number <= progress.lastEvent;
+            progress.hasGap = progress.hasGap || number > progress.lastEvent + 1;
             progress.lastEvent = number;
             event.remove_prefix (event.find ('\n') + 1);
         }
 
         if (event.starts_with (dataField))
-            takeEvent (progress, event.substr (dataField.size()));
+            processEvent (progress, event.substr (dataField.size()));
     }
 
     std::string buffer;
 };
 
-auto takeWholeAnswer (Progress& progress, const std::string& body, bool isChat) -> void
+auto recordWholeAnswer (Progress& progress, const std::string& body, bool isChat) -> void
 {
     progress.isDone = true;
 
@@ -186,12 +186,12 @@
 
     if (content == nullptr || ! content->is_string())
     {
-        progress.isGapped = true;
+        progress.hasGap = true;
         return;
     }
 
-    takeContent (progress, toView (content->get_string()));
-    progress.sawFinish = true;
+    appendContent (progress, toView (content->get_string()));
+    progress.hasFinishReason = true;
 }
 
 /** Reads an answer as far as it comes.
@@ -203,7 +203,7 @@
     if (co_await call.readHeader())
         co_return false;
 
-    progress.reachedRouter = true;
+    progress.hasResponse = true;
     const auto id = toView (call.header()["Snowrudder-Request-Id"]);
 
     if (progress.requestId.empty())
@@ -216,20 +216,20 @@
         std::string body;
         const auto status = call.status();
 
-        if (co_await call.readRest (body, largestBody))
+        if (co_await call.readRest (body, maxBodyBytes))
             co_return false;
 
         boost::system::error_code error;
 
         if (status >= 400)
-            takeProblem (progress, json::parse (body, error));
+            recordProblem (progress, json::parse (body, error));
         else
-            takeWholeAnswer (progress, body, isChat);
+            recordWholeAnswer (progress, body, isChat);
 
         co_return true;
     }
 
-    NumberedEvents events;
+    NumberedEventReader events;
     std::string piece;
 
     while (! call.isDone())
@@ -254,22 +254,22 @@
 /** Asks until there is an answer: a broken stream is resumed, a keyed call is made again with its key, both at any
     router. What may run once and has no key is asked for once.
 */
-auto askUntilAnswered (CallerThread& thread,
-                       const PlannedRequest& planned,
-                       const std::string& key,
-                       bool direct,
-                       Progress& progress) -> Task<void>
+auto sendWithRetries (CallerThread& thread,
+                      const PlannedRequest& planned,
+                      const std::string& key,
+                      bool direct,
+                      Progress& progress) -> Task<void>
 {
     const auto isChat = planned.kind->shape() == schema::CHAT;
     CallTimeouts timeouts;
     timeouts.firstByte = 90s;
 
-    for (auto attempt = 0; attempt < mostTries; ++attempt)
+    for (auto attempt = 0; attempt < maxAttempts; ++attempt)
     {
         const auto isResume = ! progress.requestId.empty() && isChat;
-        const auto mayAskAgain = isChat || ! key.empty() || ! planned.kind->once();
+        const auto mayRetry = isChat || ! key.empty() || ! planned.kind->once();
 
-        if (attempt > 0 && (direct || ! mayAskAgain))
+        if (attempt > 0 && (direct || ! mayRetry))
             co_return;
 
         if (attempt > 0)
@@ -311,28 +311,29 @@
 
     if (! progress.isDone)
     {
-        if (! progress.reachedRouter)
+        if (! progress.hasResponse)
             ++entry.unreachable;
         else if (! progress.text.empty())
-            ++entry.cut;
+            ++entry.truncated;
         else
-            ++entry.lost;
+            ++entry.unanswered;
 
         return;
     }
 
     const auto isWhole =
-        ! isChat || (progress.text == planned.expected && progress.sawFinish && ! progress.isGapped);
+        ! isChat || (progress.text == planned.expectedText && progress.hasFinishReason && ! progress.hasGap);
 
-    if (progress.isDoubled)
-        ++entry.doubled;
+    if (progress.hasDuplicate)
+        ++entry.duplicated;
     else if (! isWhole)
-        ++(planned.expected.starts_with (progress.text) || progress.isGapped ? entry.cut : entry.wrong);
+        ++(planned.expectedText.starts_with (progress.text) || progress.hasGap ? entry.truncated
+                                                                               : entry.wrong);
     else
         ++entry.good;
 
     const auto now = SteadyClock::now();
-    entry.total.add (now - progress.begun);
+    entry.total.add (now - progress.startTime);
 
     if (! planned.kind->stream())
     {
@@ -365,13 +366,13 @@
 auto makeOneRequest (CallerThread& thread, LoadResult& result, PlannedRequest planned, bool direct)
     -> Task<void>
 {
-    ++thread.open;
+    ++thread.openRequests;
     Progress progress;
-    progress.begun = SteadyClock::now();
+    progress.startTime = SteadyClock::now();
     const auto key = planned.kind->keyed() ? toString (makeUuid (wallTimeNow())) : std::string();
 
-    co_await askUntilAnswered (thread, planned, key, direct, progress);
-    --thread.open;
+    co_await sendWithRetries (thread, planned, key, direct, progress);
+    --thread.openRequests;
 
     const std::lock_guard lock (result.mutex);
     addResult (direct ? result.direct[planned.classIndex] : result.classes[planned.classIndex], planned,
@@ -381,8 +382,8 @@
     {
         auto& call = result.calls[planned.callKey];
         call.classIndex = planned.classIndex;
-        call.answeredGood = progress.isDone && progress.errorKind.empty();
-        call.toldNotRun = progress.ran == "no";
+        call.wasSuccessful = progress.isDone && progress.errorKind.empty();
+        call.wasReportedNotRun = progress.ran == "no";
     }
 
     if (planned.promptWords > 0)
--- a/modules/snowrudder_load/client/Caller.h
+++ b/modules/snowrudder_load/client/Caller.h
@@ -21,8 +21,8 @@
     std::minstd_rand random;
     std::vector<tcp::endpoint> engines;
     std::vector<tcp::endpoint> services;
-    std::uint64_t made = 0;
-    std::uint64_t open = 0;
+    std::uint64_t startedRequests = 0;
+    std::uint64_t openRequests = 0;
 };
 
 /** Makes one request, checks its answer, and adds both to the result.
--- a/modules/snowrudder_load/client/LoadRun.cpp
+++ b/modules/snowrudder_load/client/LoadRun.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-auto produce (CallerThread& thread, LoadResult& result) -> Task<void>
+auto sendRequests (CallerThread& thread, LoadResult& result) -> Task<void>
 {
     asio::steady_timer timer (thread.loop);
     const auto end = SteadyClock::now() + thread.plan.length;
@@ -25,7 +25,7 @@
     // Open loop: a request's time does not depend on the answers before it.
     for (;;)
     {
-        next += thread.source.nextGap();
+        next += thread.source.nextInterval();
 
         if (next >= end)
             break;
@@ -33,15 +33,15 @@
         timer.expires_at (next);
         co_await timer.async_wait (asTuple);
 
-        const auto isDirect = thread.plan.compareDirect && thread.made % 2 == 1;
-        ++thread.made;
+        const auto isDirect = thread.plan.compareDirect && thread.startedRequests % 2 == 1;
+        ++thread.startedRequests;
         asio::co_spawn (thread.loop, makeOneRequest (thread, result, thread.source.next(), isDirect),
                         asio::detached);
     }
 
-    const auto patienceEnd = end + thread.plan.patience;
+    const auto drainEnd = end + thread.plan.drainTimeout;
 
-    while (thread.open > 0 && SteadyClock::now() < patienceEnd)
+    while (thread.openRequests > 0 && SteadyClock::now() < drainEnd)
     {
         timer.expires_after (20ms);
         co_await timer.async_wait (asTuple);
@@ -51,20 +51,20 @@
 }
 
 /** Makes one call on a loop of its own and waits for it. */
-auto askNow (const tcp::endpoint& endpoint, std::string_view target) -> SimpleAnswer
+auto callBlocking (const tcp::endpoint& endpoint, std::string_view target) -> SimpleAnswer
 {
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
     SimpleAnswer answer;
     CallTimeouts timeouts { 1s, 5s, 5s };
-    constexpr auto largestStats = std::size_t { 256 * 1024 * 1024 };
+    constexpr auto maxStatsBytes = std::size_t { 256 * 1024 * 1024 };
 
     asio::co_spawn (
         loop,
         [&]() -> Task<void>
         {
             answer = co_await callOnce (pool, endpoint, makeRequest (http::verb::get, target), timeouts,
-                                        largestStats);
+                                        maxStatsBytes);
         },
         asio::detached);
     loop.run();
@@ -73,7 +73,7 @@
 
 auto listVms (const LoadPlan& plan) -> std::vector<Vm>
 {
-    const auto answer = askNow (plan.platform, "/vms");
+    const auto answer = callBlocking (plan.platform, "/vms");
     auto skipped = std::size_t { 0 };
     return answer.isGood() ? parseVmList (answer.body, skipped).value_or (std::vector<Vm> {})
                            : std::vector<Vm> {};
@@ -111,7 +111,7 @@
 
 auto runLoad (const schema::LoadSettings& workload, const LoadPlan& plan, LoadResult& result) -> void
 {
-    const auto begun = SteadyClock::now();
+    const auto startTime = SteadyClock::now();
     std::deque<CallerThread> callers;
     std::vector<std::thread> threads;
     threads.reserve (plan.threads);
@@ -123,7 +123,7 @@
         if (plan.compareDirect)
             findUpstreams (caller);
 
-        asio::co_spawn (caller.loop, produce (caller, result), asio::detached);
+        asio::co_spawn (caller.loop, sendRequests (caller, result), asio::detached);
     }
 
     for (auto& caller : callers)
@@ -137,10 +137,10 @@
         caller.loop.endWaiting();
 
     for (const auto& caller : callers)
-        if (caller.open > 0)
-            LogLine ("not_waited_for").with ("requests", caller.open).warning();
+        if (caller.openRequests > 0)
+            LogLine ("not_waited_for").with ("requests", caller.openRequests).warning();
 
-    result.elapsed = std::min (SteadyClock::now() - begun, plan.length);
+    result.elapsed = std::min (SteadyClock::now() - startTime, plan.length);
 }
 
 auto addUpstreamCounts (const LoadPlan& plan, UpstreamCounts& into) -> bool
@@ -156,7 +156,7 @@
     }
 
     for (const auto& endpoint : into.endpoints)
-        if (const auto answer = askNow (parseEndpoint (endpoint), "/stats"); answer.isGood())
+        if (const auto answer = callBlocking (parseEndpoint (endpoint), "/stats"); answer.isGood())
             addStats (answer.body, into);
 
     return ! vms.empty();
@@ -164,11 +164,11 @@
 
 auto countsBetween (const UpstreamCounts& before, UpstreamCounts after) -> UpstreamCounts
 {
-    const auto less = [] (std::uint64_t& later, std::uint64_t earlier)
+    const auto subtract = [] (std::uint64_t& later, std::uint64_t earlier)
     { later -= std::min (later, earlier); };
-    less (after.computedPromptTokens, before.computedPromptTokens);
-    less (after.cachedPromptTokens, before.cachedPromptTokens);
-    less (after.generatedTokens, before.generatedTokens);
+    subtract (after.computedPromptTokens, before.computedPromptTokens);
+    subtract (after.cachedPromptTokens, before.cachedPromptTokens);
+    subtract (after.generatedTokens, before.generatedTokens);
     return after;
 }
 
--- a/modules/snowrudder_load/client/LoadRun.h
+++ b/modules/snowrudder_load/client/LoadRun.h
@@ -22,7 +22,7 @@
     tcp::endpoint platform;
     Duration length = 20s;
     /** Answers are waited for this long after the last request. */
-    Duration patience = 90s;
+    Duration drainTimeout = 90s;
     std::uint32_t threads = 1;
     double rateFactor = 1.0;
     /** Makes every second request directly to an upstream. */
--- a/modules/snowrudder_load/report/LoadReport.cpp
+++ b/modules/snowrudder_load/report/LoadReport.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-auto breachesOf (const ClassResult& result) -> std::uint64_t
+auto countClassBreaches (const ClassResult& result) -> std::uint64_t
 {
-    return result.wrong + result.cut + result.doubled + result.lost + result.untrue;
+    return result.wrong + result.truncated + result.duplicated + result.unanswered + result.misreported;
 }
 
 /** Bins are of a fixed width, so a quantile is exact to 2.4%. */
@@ -39,10 +39,10 @@
     object["good"] = result.good;
     object["within_target"] = result.withinTarget;
     object["wrong"] = result.wrong;
-    object["cut"] = result.cut;
-    object["doubled"] = result.doubled;
-    object["lost"] = result.lost;
-    object["untrue"] = result.untrue;
+    object["cut"] = result.truncated;
+    object["doubled"] = result.duplicated;
+    object["lost"] = result.unanswered;
+    object["untrue"] = result.misreported;
     object["unreachable"] = result.unreachable;
     object["resumed"] = result.resumed;
     object["tokens"] = result.tokens;
@@ -73,9 +73,10 @@
 
     std::printf (
         "    checked          wrong %llu, cut %llu, doubled %llu, lost %llu, untrue %llu; unreachable %llu\n",
-        static_cast<unsigned long long> (result.wrong), static_cast<unsigned long long> (result.cut),
-        static_cast<unsigned long long> (result.doubled), static_cast<unsigned long long> (result.lost),
-        static_cast<unsigned long long> (result.untrue),
+        static_cast<unsigned long long> (result.wrong), static_cast<unsigned long long> (result.truncated),
+        static_cast<unsigned long long> (result.duplicated),
+        static_cast<unsigned long long> (result.unanswered),
+        static_cast<unsigned long long> (result.misreported),
         static_cast<unsigned long long> (result.unreachable));
 
     for (const auto& [kind, count] : result.errors)
@@ -116,24 +117,24 @@
         auto& entry = result.classes[call.classIndex];
 
         if (runs > 1)
-            ++entry.doubled;
+            ++entry.duplicated;
 
-        if ((call.answeredGood && runs == 0) || (call.toldNotRun && ! call.answeredGood && runs > 0))
-            ++entry.untrue;
+        if ((call.wasSuccessful && runs == 0) || (call.wasReportedNotRun && ! call.wasSuccessful && runs > 0))
+            ++entry.misreported;
     }
 }
 
-auto leastPromptTokens (const LoadResult& result) -> std::uint64_t
+auto minPromptTokens (const LoadResult& result) -> std::uint64_t
 {
     return result.promptBlocks.size() * engineBlockTokens + result.promptRemainders;
 }
 
-auto breaches (const LoadResult& result) -> std::uint64_t
+auto countBreaches (const LoadResult& result) -> std::uint64_t
 {
     auto count = std::uint64_t { 0 };
 
     for (const auto& entry : result.classes)
-        count += breachesOf (entry);
+        count += countClassBreaches (entry);
 
     return count;
 }
@@ -151,19 +152,19 @@
             printClass (name + " (direct)", result.direct[index]);
     }
 
-    const auto least = leastPromptTokens (result);
+    const auto minimum = minPromptTokens (result);
     const auto computed = counts.computedPromptTokens;
     std::printf ("\nprompt tokens    %llu computed, %llu from caches; least possible %llu; recomputed %lld "
                  "(factor %.3f)\n",
                  static_cast<unsigned long long> (computed),
                  static_cast<unsigned long long> (counts.cachedPromptTokens),
-                 static_cast<unsigned long long> (least),
-                 static_cast<long long> (computed) - static_cast<long long> (least),
-                 least == 0 ? 0.0 : static_cast<double> (computed) / static_cast<double> (least));
+                 static_cast<unsigned long long> (minimum),
+                 static_cast<long long> (computed) - static_cast<long long> (minimum),
+                 minimum == 0 ? 0.0 : static_cast<double> (computed) / static_cast<double> (minimum));
     std::printf ("cost             %.4f for 1,000 requests within the target (VMs at %.2f an hour, %.1f s)\n",
                  costPerThousand (result, counts), counts.price,
                  std::chrono::duration<double> (result.elapsed).count());
-    std::printf ("promises broken  %llu\n", static_cast<unsigned long long> (breaches (result)));
+    std::printf ("promises broken  %llu\n", static_cast<unsigned long long> (countBreaches (result)));
 }
 
 auto reportJson (const LoadResult& result, const UpstreamCounts& counts, const schema::LoadSettings& workload)
@@ -184,10 +185,10 @@
     object["classes"] = std::move (classes);
     object["computed_prompt_tokens"] = counts.computedPromptTokens;
     object["cached_prompt_tokens"] = counts.cachedPromptTokens;
-    object["least_prompt_tokens"] = leastPromptTokens (result);
+    object["least_prompt_tokens"] = minPromptTokens (result);
     object["cost_per_thousand"] = costPerThousand (result, counts);
     object["elapsed_seconds"] = std::chrono::duration<double> (result.elapsed).count();
-    object["breaches"] = breaches (result);
+    object["breaches"] = countBreaches (result);
     return object;
 }
 
--- a/modules/snowrudder_load/report/LoadReport.h
+++ b/modules/snowrudder_load/report/LoadReport.h
@@ -34,13 +34,13 @@
     /** Another text than the one that belongs to the request. */
     std::uint64_t wrong = 0;
     /** Ended without its end, or with a piece missing. */
-    std::uint64_t cut = 0;
+    std::uint64_t truncated = 0;
     /** A piece came twice, or a call that may run once ran twice. */
-    std::uint64_t doubled = 0;
+    std::uint64_t duplicated = 0;
     /** Accepted, but no answer could be had. */
-    std::uint64_t lost = 0;
+    std::uint64_t unanswered = 0;
     /** Told "not run", yet it ran; or told good, yet it never ran. */
-    std::uint64_t untrue = 0;
+    std::uint64_t misreported = 0;
     /** No connection could be made at all. */
     std::uint64_t unreachable = 0;
     std::uint64_t resumed = 0;
@@ -55,8 +55,8 @@
 struct CallRecord
 {
     std::size_t classIndex = 0;
-    bool answeredGood = false;
-    bool toldNotRun = false;
+    bool wasSuccessful = false;
+    bool wasReportedNotRun = false;
 };
 
 /** Figures from the engines and services. */
@@ -91,10 +91,10 @@
 auto checkCalls (LoadResult& result, const UpstreamCounts& counts) -> void;
 
 /** @returns prompt tokens that must be computed at least: each shared prefix once. */
-auto leastPromptTokens (const LoadResult& result) -> std::uint64_t;
+auto minPromptTokens (const LoadResult& result) -> std::uint64_t;
 
 /** @returns answers that broke a promise. */
-auto breaches (const LoadResult& result) -> std::uint64_t;
+auto countBreaches (const LoadResult& result) -> std::uint64_t;
 
 /** Prints the report for a person. */
 auto printReport (const LoadResult& result,
--- a/modules/snowrudder_load/workload/RequestSource.cpp
+++ b/modules/snowrudder_load/workload/RequestSource.cpp
@@ -16,7 +16,7 @@
 {
 
 /** @returns words that follow from a seed. */
-auto words (std::uint64_t seed, std::uint32_t count) -> std::string
+auto makeWords (std::uint64_t seed, std::uint32_t count) -> std::string
 {
     std::string text;
 
@@ -44,7 +44,7 @@
     classes = std::discrete_distribution<std::size_t> (rates.begin(), rates.end());
 }
 
-auto RequestSource::nextGap() -> Duration
+auto RequestSource::nextInterval() -> Duration
 {
     const auto seconds = std::exponential_distribution<double> (totalRate) (random);
     return std::chrono::duration_cast<Duration> (std::chrono::duration<double> (seconds));
@@ -72,11 +72,12 @@
     // Shared parts follow from the workload's seed, so that all threads share them.
     const auto classSeed = hashBytes (kind.name(), settings.seed());
     const auto document = drawDocument (kind.documents());
-    const auto system = words (classSeed, std::max (1U, kind.shared_words()));
-    auto user =
-        kind.documents() > 0 ? words (combineHashes (classSeed, document + 1), kind.document_words()) : "";
+    const auto system = makeWords (classSeed, std::max (1U, kind.shared_words()));
+    auto user = kind.documents() > 0
+                    ? makeWords (combineHashes (classSeed, document + 1), kind.document_words())
+                    : "";
     user += " ";
-    user += words (combineHashes (seed, planned), std::max (1U, kind.question_words()));
+    user += makeWords (combineHashes (seed, planned), std::max (1U, kind.question_words()));
 
     json::object body;
     body["model"] = kind.model();
@@ -93,7 +94,7 @@
     messages.emplace_back (makeObject ("role", "user", "content", user));
 
     const auto prompt = promptText (body);
-    request.expected = expectedAnswer (answerSeed (kind.model(), prompt), kind.max_tokens());
+    request.expectedText = expectedAnswer (answerSeed (kind.model(), prompt), kind.max_tokens());
 
     const auto tokens = wordHashes (prompt);
     request.promptWords = static_cast<std::uint32_t> (tokens.size());
--- a/modules/snowrudder_load/workload/RequestSource.h
+++ b/modules/snowrudder_load/workload/RequestSource.h
@@ -20,7 +20,7 @@
     /** The body to send. */
     std::string body;
     /** The text that a chat completion must bring. */
-    std::string expected;
+    std::string expectedText;
     /** Block hashes and length of a chat's prompt, for the lower bound of computed tokens. */
     std::vector<std::uint64_t> promptBlocks;
     std::uint32_t promptWords = 0;
@@ -39,7 +39,7 @@
     RequestSource (const schema::LoadSettings& workload, std::uint64_t streamSeed, double rateFactor);
 
     /** @returns the time until the next request. */
-    auto nextGap() -> Duration;
+    auto nextInterval() -> Duration;
 
     /** @returns the next request. */
     auto next() -> PlannedRequest;
--- a/programs/snowrudder-load.cpp
+++ b/programs/snowrudder-load.cpp
@@ -48,7 +48,7 @@
     plan.routers = splitEndpoints (line.option ("routers"));
     plan.platform = parseEndpoint (line.option ("platform"));
     plan.length = std::chrono::seconds (std::atoi (line.option ("seconds", "20").c_str()));
-    plan.patience = std::chrono::seconds (std::atoi (line.option ("patience", "90").c_str()));
+    plan.drainTimeout = std::chrono::seconds (std::atoi (line.option ("patience", "90").c_str()));
     plan.threads =
         static_cast<std::uint32_t> (std::max (1, std::atoi (line.option ("threads", "1").c_str())));
     plan.rateFactor = std::atof (line.option ("rate-factor", "1").c_str());
@@ -96,5 +96,5 @@
     if (const auto file = line.option ("json"); ! file.empty())
         std::ofstream (file) << boost::json::serialize (reportJson (result, counts, workload)) << '\n';
 
-    return static_cast<int> (breaches (result) == 0 ? ExitCode::success : ExitCode::failed);
+    return static_cast<int> (countBreaches (result) == 0 ? ExitCode::success : ExitCode::failed);
 }
--- a/programs/snowrudder-router.cpp
+++ b/programs/snowrudder-router.cpp
@@ -12,7 +12,7 @@
 constexpr auto program = "snowrudder-router";
 
 /** Serves the product's own interface. */
-auto runOwnFace (const CommandLine& line) -> ExitCode
+auto runOwnInterface (const CommandLine& line) -> ExitCode
 {
     if (line.settingsFile.empty())
     {
@@ -56,7 +56,7 @@
         endProcess (platform::runOnPlatform (line));
 
     if (face == "own")
-        endProcess (runOwnFace (line));
+        endProcess (runOwnInterface (line));
 
     std::fprintf (stderr, "%s: --face takes own or platform (see --help)\n", program);
     return static_cast<int> (ExitCode::usage);
--- a/tests/bench/Bench.cpp
+++ b/tests/bench/Bench.cpp
@@ -96,7 +96,7 @@
 {
     const auto& result = row.result;
     const auto factor =
-        static_cast<double> (result.computedPromptTokens) / static_cast<double> (result.leastPromptTokens);
+        static_cast<double> (result.computedPromptTokens) / static_cast<double> (result.minPromptTokens);
     std::printf ("%-11s %3.0f%% %-8s %-13s %7llu %9llu %7.3f %9.1f %7.2f %8.2f%% %9.4f %6llu %6llu\n",
                  row.deployment.c_str(), row.load * 100.0, row.reclaims ? "reclaims" : "quiet",
                  std::string (toString (row.policy)).c_str(),
--- a/tests/bench/BenchTests.cpp
+++ b/tests/bench/BenchTests.cpp
@@ -25,7 +25,7 @@
 
 auto recomputeFactor (const ServingResult& result) -> double
 {
-    return static_cast<double> (result.computedPromptTokens) / static_cast<double> (result.leastPromptTokens);
+    return static_cast<double> (result.computedPromptTokens) / static_cast<double> (result.minPromptTokens);
 }
 
 auto withinShare (const ServingResult& result) -> double
--- a/tests/bench/ServingWorld.cpp
+++ b/tests/bench/ServingWorld.cpp
@@ -53,7 +53,7 @@
     setWindows();
     time.after (stepTime, [this] { stepEngines(); });
     time.after (reportInterval, [this] { reportLoads(); });
-    time.after (source.nextGap(), [this] { arrive(); });
+    time.after (source.nextInterval(), [this] { arrive(); });
 
     if (plan.reclaimEvery > Duration::zero())
         time.after (plan.reclaimEvery, [this] { reclaim(); });
@@ -179,7 +179,7 @@
     if (time.now() - firstTime >= plan.length)
         return;
 
-    time.after (source.nextGap(), [this] { arrive(); });
+    time.after (source.nextInterval(), [this] { arrive(); });
     auto planned = source.next();
 
     if (planned.kind->shape() != schema::CHAT)
@@ -462,7 +462,7 @@
     constexpr auto thousand = 1000.0;
     const auto runPart =
         std::chrono::duration<double> (plan.length) / std::chrono::duration<double> (plan.length + deadline);
-    result.leastPromptTokens = uniqueBlocks.size() * engineBlockTokens + remainders;
+    result.minPromptTokens = uniqueBlocks.size() * engineBlockTokens + remainders;
     result.firstTokenP95 = quantileOf (firstTokens, p95);
     result.betweenTokensP95 = quantileOf (gaps, p95);
 
--- a/tests/bench/ServingWorld.h
+++ b/tests/bench/ServingWorld.h
@@ -67,7 +67,7 @@
 {
     std::vector<ServingClass> classes;
     std::uint64_t computedPromptTokens = 0;
-    std::uint64_t leastPromptTokens = 0;
+    std::uint64_t minPromptTokens = 0;
     std::uint64_t attempts = 0;
     std::uint64_t requests = 0;
     std::uint64_t withinTarget = 0;
