--- a/modules/snowrudder_fakes/common/FakeServer.h
+++ b/modules/snowrudder_fakes/common/FakeServer.h
@@ -10,12 +10,12 @@
 namespace snowrudder
 {
 
-/** Runs one stand-in on one event loop until SIGTERM or SIGINT.
+/** Runs the server of a fake on one event loop until SIGTERM or SIGINT.
 
+    @param loop     the event loop that the handler's own work runs on
     @param listen   IP-NUMBER:PORT
-    @param program  named in messages
+    @param program  the program's name in messages
     @param handler  answers each request
-    @param loop     the loop that the handler's own work runs on
     @returns        the process's exit code
 */
 auto runFakeServer (EventLoop& loop,
@@ -23,10 +23,10 @@
                     const std::string& program,
                     ExchangeHandler handler) -> int;
 
-/** @returns a JSON request's body as an object; an empty object when it is none. */
+/** @returns the body of a request as a JSON object; an empty object when the body is not one. */
 auto jsonBody (const Exchange& exchange) -> boost::json::object;
 
-/** Answers with JSON. */
+/** Sends a response with a JSON body. */
 auto respondJson (Exchange& exchange, http::status status, boost::json::value value) -> Task<void>;
 
 /** Adds name and value pairs to an object. */
@@ -39,8 +39,8 @@
         addMembers (object, std::forward<Rest> (rest)...);
 }
 
-/** @returns an object of name and value pairs. Unlike a braced list it can stand inside a co_await expression, which
-    GCC 12 does not compile with lists.
+/** @returns an object of name and value pairs. Can be used inside a co_await expression, unlike a braced list, which
+    GCC 12 fails to compile there.
 */
 template <typename... Members>
 auto makeObject (Members&&... members) -> boost::json::object
--- a/modules/snowrudder_fakes/engine/AnswerText.h
+++ b/modules/snowrudder_fakes/engine/AnswerText.h
@@ -8,29 +8,29 @@
 namespace snowrudder
 {
 
-/** The fake engine's tokens are words. What it answers follows from the prompt alone, so that a client can check
-    each answer against its own request, whichever engine gave it.
+/** The tokens of the fake engine are words. Its answer is determined by the model and the prompt alone, so that a client
+    can check each answer against its request, whichever engine generated it.
 */
 
 /** @returns the hash of each word of a text, in order. */
 auto wordHashes (std::string_view text) -> std::vector<std::uint64_t>;
 
-/** @returns how many words a text has. */
+/** @returns the number of words in a text. */
 auto countWords (std::string_view text) -> std::uint32_t;
 
-/** @returns what the answer to a prompt follows from.
+/** @returns the seed that determines the answer to a prompt.
 
-    @param prompt  as promptText() gives it
+    @param prompt  the prompt as returned by promptText()
 */
 auto answerSeed (std::string_view model, std::string_view prompt) -> std::uint64_t;
 
 /** @returns an answer's word at a position, with a leading space unless it is the first. */
 auto answerWord (std::uint64_t seed, std::uint32_t position) -> std::string;
 
-/** @returns how many words an answer has when no limit cuts it. */
+/** @returns the number of words in an answer that no limit truncates. */
 auto answerLength (std::uint64_t seed) -> std::uint32_t;
 
-/** @returns the whole answer that a client must get.
+/** @returns the complete answer that a client must receive.
 
     @param maxTokens  0 for no limit
 */
--- a/modules/snowrudder_fakes/engine/EngineModel.cpp
+++ b/modules/snowrudder_fakes/engine/EngineModel.cpp
@@ -105,7 +105,7 @@
             const auto cachedBlocks = cache.countCached (slot.chain.blocks);
             const auto cached = static_cast<std::uint32_t> (cachedBlocks) * limits.blockTokens;
 
-            // The last token is always computed: the first answer token comes out of it.
+            // The last prompt token is always computed, as its computation yields the first answer token.
             slot.cachedTokens = std::min (cached, slot.promptTokens > 0 ? slot.promptTokens - 1 : 0);
             slot.uncomputed = slot.promptTokens - slot.cachedTokens;
 
--- a/modules/snowrudder_fakes/engine/EngineModel.h
+++ b/modules/snowrudder_fakes/engine/EngineModel.h
@@ -11,13 +11,13 @@
 namespace snowrudder
 {
 
-/** An engine's size and speed. */
+/** The size and the speed of an engine. */
 struct EngineLimits
 {
     std::uint32_t slots = 16;
     std::uint32_t cacheBlocks = 4096;
     std::uint32_t blockTokens = 16;
-    /** Prompt tokens computed a step, all slots together. */
+    /** The number of prompt tokens computed in each step, over all slots. */
     std::uint32_t prefillTokensPerStep = 512;
     std::uint32_t queueLimit = 256;
 };
@@ -26,20 +26,20 @@
 struct EngineRequest
 {
     std::uint64_t id = 0;
-    /** Hash of each prompt token, the resumed part of an answer included. */
+    /** The hash of each prompt token, including those of an answer that is being continued. */
     std::vector<std::uint64_t> promptTokens;
-    /** Keeps the caches of different client accounts apart. */
+    /** Separates the cached blocks of different client accounts. */
     std::uint64_t cacheSalt = 0;
-    /** What the answer follows from. */
+    /** Determines the answer; see answerSeed(). */
     std::uint64_t seed = 0;
-    /** Tokens of the answer that the prompt holds already. */
+    /** The number of answer tokens that the prompt already contains. */
     std::uint32_t firstPosition = 0;
-    /** Position at which the answer ends. */
+    /** The position at which the answer ends. */
     std::uint32_t lastPosition = 0;
     std::uint32_t priority = 5;
 };
 
-/** What a step did for one request. */
+/** The result of one step for one request. */
 struct EngineStep
 {
     std::uint64_t id = 0;
@@ -61,9 +61,9 @@
     std::uint64_t refused = 0;
 };
 
-/** A model engine's work over steps: continuous batching in slots, a prompt-prefix cache with limited memory,
-    priorities. It reads no clock and does no input or output: the HTTP face steps it in real time, benchmarks and
-    randomised runs step it in virtual time.
+/** A model of an engine that works in steps: continuous batching in slots, a prompt-prefix cache of limited size,
+    priorities. It reads no clock and does no input or output: the HTTP server steps it in real time, benchmarks and
+    randomised tests step it in virtual time.
 */
 class EngineModel
 {
@@ -73,16 +73,18 @@
     {
     }
 
-    /** Takes a request into the queue.
+    /** Adds a request to the queue.
 
-        @returns false when the queue is full: the request was not run and never will be
+        @returns false when the queue is full; the request is never run then
     */
     auto submit (EngineRequest request) -> bool;
 
-    /** Drops a request. Its computed blocks stay cached. */
+    /** Cancels a queued or running request. Its computed blocks stay in the cache. */
     auto cancel (std::uint64_t id) -> void;
 
-    /** Does one step: admits, computes prompts, and adds one token to each running answer. */
+    /** Performs one step: moves requests from the queue into free slots, computes prompts, and generates one token for
+        each answer whose prompt is computed.
+    */
     auto step() -> std::vector<EngineStep>;
 
     [[nodiscard]] auto running() const -> std::uint32_t { return static_cast<std::uint32_t> (slots.size()); }
@@ -90,13 +92,15 @@
     [[nodiscard]] auto isIdle() const -> bool { return slots.empty() && waitingCount == 0; }
     [[nodiscard]] auto counts() const -> const EngineCounts& { return totals; }
 
-    /** @returns prompt tokens not yet computed, over all requests. */
+    /** @returns the number of prompt tokens of all requests that are not yet computed. */
     [[nodiscard]] auto pendingPromptTokens() const -> std::uint64_t;
 
-    /** @returns the block hashes that a request has computed so far, for another engine to import. */
+    /** @returns the hashes of a request's blocks, which another engine can import; empty while its prompt is not yet
+        computed.
+    */
     [[nodiscard]] auto exportBlocks (std::uint64_t id) const -> std::vector<std::uint64_t>;
 
-    /** Takes another engine's blocks into the cache. */
+    /** Stores the blocks of another engine in the cache. */
     auto importBlocks (const std::vector<std::uint64_t>& blocks) -> void;
 
     [[nodiscard]] auto prefixCache() -> PrefixCache& { return cache; }
@@ -110,7 +114,7 @@
         std::uint32_t cachedTokens = 0;
         std::uint32_t uncomputed = 0;
         std::uint32_t position = 0;
-        /** Leading blocks that this slot holds in the cache. */
+        /** The number of leading blocks that this slot has pinned in the cache. */
         std::size_t pinnedBlocks = 0;
     };
 
--- a/modules/snowrudder_fakes/engine/FakeEngine.cpp
+++ b/modules/snowrudder_fakes/engine/FakeEngine.cpp
@@ -44,7 +44,7 @@
                                                                        : defaultStep);
 }
 
-/** The prompt without the part of the answer that the engine is to go on with. */
+/** A prompt, and separately the part of the answer that the engine continues. */
 struct SplitPrompt
 {
     std::string prompt;
--- a/modules/snowrudder_fakes/engine/FakeEngine.h
+++ b/modules/snowrudder_fakes/engine/FakeEngine.h
@@ -13,30 +13,31 @@
 namespace snowrudder
 {
 
-/** Faults of one engine, switched by `POST /faults`. */
+/** Faults of one engine, set by `POST /faults`. */
 struct EngineFaults
 {
     /** Requests are answered with 503 and never run. */
     bool refuse = false;
     /** Streams stop sending but stay open. */
     bool stall = false;
-    /** Streams are cut without an end. */
+    /** Streams are closed before their end. */
     bool cut = false;
-    /** Chunks are not JSON. */
+    /** Chunks are not valid JSON. */
     bool sendsMalformed = false;
-    /** The engine says that it leaves: /load tells so, new requests are refused. */
+    /** The engine is shutting down: /load reports it, and new requests are refused. */
     bool leaving = false;
 };
 
-/** The HTTP face of a model engine. Paths:
+/** The HTTP server of a fake model engine. Paths:
 
     - `POST /v1/chat/completions`  with `priority`, `continue_final_message`, `stream_options.continuous_usage_stats`;
-                                   `X-Request-Id` names the request for the paths below
+                                   `X-Request-Id` identifies the request in the paths below
     - `POST /abort`                `{"request_id"}`
-    - `POST /kv/export`            `{"request_id"}` gives `{"blocks"}`; `POST /kv/import` takes `{"blocks"}`
-    - `GET /load`                  running, waiting and pending prompt tokens, as they were some time ago
-    - `GET /cache_events?after=N`  what the cache stored and dropped, with gaps
-    - `POST /orders`               `{"fence", "model", "version", "role"}`; an old fence is refused with 409
+    - `POST /kv/export`            `{"request_id"}` returns `{"blocks"}`; `POST /kv/import` expects `{"blocks"}`
+    - `GET /load`                  running and waiting requests and pending prompt tokens, delayed by the setting
+                                   `load_lag_milliseconds`
+    - `GET /cache_events?after=N`  blocks that the cache stored and evicted; a share of the events is missing
+    - `POST /orders`               `{"fence", "model", "version", "role"}`; an outdated fence is refused with 409
     - `GET /stats`                 counts since the start
     - `POST /faults`               see EngineFaults
 */
@@ -45,14 +46,14 @@
 public:
     FakeEngine (asio::io_context& eventLoop, const schema::FakeEngineSettings& engineSettings);
 
-    /** Starts stepping. */
+    /** Starts stepping the engine model in real time. */
     auto start() -> void;
 
-    /** Answers one request. */
+    /** Handles one HTTP request. */
     auto handle (Exchange& exchange) -> Task<void>;
 
 private:
-    /** What one open stream waits for. */
+    /** The steps of one open request that are not yet sent to its caller. */
     struct Stream
     {
         std::deque<EngineStep> steps;
--- a/modules/snowrudder_fakes/platform/FakePlatform.h
+++ b/modules/snowrudder_fakes/platform/FakePlatform.h
@@ -13,20 +13,20 @@
 namespace snowrudder
 {
 
-/** Faults of the platform, switched by `POST /faults`. */
+/** Faults of the platform, set by `POST /faults`. */
 struct PlatformFaults
 {
-    /** The key-value service does not answer at all. */
+    /** The key-value service does not respond. */
     bool keyValueDown = false;
-    /** Writes take effect, but their answers are lost. */
+    /** Writes take effect, but their responses are lost. */
     bool loseAnswers = false;
-    /** Each answer of the key-value service comes this much later. */
+    /** Delays each response of the key-value service. */
     std::uint32_t delayMilliseconds = 0;
     /** Requests to start VMs are refused. */
     bool refuseStarts = false;
 };
 
-/** Calls counted since the start, for the budget. */
+/** The numbers of calls since the start. Tests check the nodes' call budgets by them. */
 struct PlatformCounts
 {
     std::uint64_t reads = 0;
@@ -36,17 +36,18 @@
     std::uint64_t limited = 0;
 };
 
-/** The platform. Paths, all JSON:
+/** A fake of the platform. Paths, all with JSON bodies:
 
     - `POST /kv/get` `{"key"}`; `POST /kv/list` `{"prefix"}`
-    - `POST /kv/swap` `{"key", "expected", "value", "lease"}`: 409 with the version when another came first
-    - `POST /kv/watch` `{"prefix", "after", "wait_milliseconds"}`: answers once a key of the prefix is newer
+    - `POST /kv/swap` `{"key", "expected", "value", "lease"}`: 409 with the current version when it is not the expected one
+    - `POST /kv/watch` `{"prefix", "after", "wait_milliseconds"}`: responds as soon as a key with the prefix is newer
     - `POST /lease/grant` `{"milliseconds"}`; `POST /lease/renew` and `/lease/end` `{"lease"}`
-    - `GET /vms`: the VM list, as it was some time ago; `POST /vms` replaces it
+    - `GET /vms`: the VM list, delayed by the setting `vm_list_lag_milliseconds`; `POST /vms` replaces it
     - `GET /cloud/prices`; `POST /cloud/start` `{"token", "class", "failure_domain", "reclaimable"}`;
       `POST /cloud/stop` `{"vm"}`; `GET /cloud/notices?vm=NAME`
-    - `POST /cloud/reclaim` `{"vm" or "failure_domain", "notice_milliseconds"}`: a test's wave
-    - `POST /weights/fetch` `{"bytes"}`: answers when the store's rate has let them through
+    - `POST /cloud/reclaim` `{"vm" or "failure_domain", "notice_milliseconds"}`: lets a test reclaim one VM, or all of a
+      failure domain at once
+    - `POST /weights/fetch` `{"bytes"}`: responds when the bytes are transferred at the rate of the weight store
     - `GET /stats`, `POST /faults`
 */
 class FakePlatform
@@ -54,10 +55,10 @@
 public:
     FakePlatform (asio::io_context& eventLoop, const schema::FakePlatformSettings& platformSettings);
 
-    /** Holds the tree and VM list that the settings name.
+    /** Loads the settings tree and the VM list from the files given in the settings.
 
-        @param settingsFile  paths are relative to it
-        @returns             an error text, empty when all was read
+        @param settingsFile  the paths of the files are relative to it
+        @returns             an error message; empty on success
     */
     auto loadInitialState (const std::string& settingsFile) -> std::string;
 
@@ -65,7 +66,7 @@
     auto handle (Exchange& exchange) -> Task<void>;
 
 private:
-    /** A budget of calls a second that fills evenly. */
+    /** A token bucket that limits the calls per second. */
     struct CallRateLimiter
     {
         double perSecond = 1e9;
--- a/modules/snowrudder_fakes/platform/KeyValueModel.h
+++ b/modules/snowrudder_fakes/platform/KeyValueModel.h
@@ -15,27 +15,27 @@
 struct KeyValue
 {
     std::string value;
-    /** Grows with each write to the service; 0 where the key is not there. */
+    /** The service's version after the write; increases with each write to any key. 0 when the key does not exist. */
     std::uint64_t version = 0;
-    /** The lease that the value goes with, or 0. */
+    /** The lease whose end removes the key; 0 for none. */
     std::uint64_t lease = 0;
 };
 
-/** What a compare-and-swap did. */
+/** The result of a compare-and-swap. */
 struct SwapResult
 {
     bool swapped = false;
-    /** The key's version now. */
+    /** The key's current version. */
     std::uint64_t version = 0;
 };
 
-/** The platform's key-value service without its network: compare-and-swap, leases, versions for watches. */
+/** A model of the platform's key-value service without input and output: compare-and-swap, leases, versions for watches. */
 class KeyValueModel
 {
 public:
     static constexpr auto maxValueBytes = std::size_t { 1024 * 1024 };
 
-    /** @returns the key's value; version 0 where there is none. */
+    /** @returns the key's value; its version is 0 when the key does not exist. */
     [[nodiscard]] auto read (const std::string& key) const -> KeyValue;
 
     /** @returns all keys that start with a prefix. */
@@ -44,7 +44,7 @@
     /** Writes when the key's version is the expected one. An empty value removes the key.
 
         @param lease  0, or a lease whose end removes the key
-        @returns      empty when the value is too large or the lease is not there
+        @returns      nothing when the value is too large or the lease does not exist
     */
     auto swap (const std::string& key, std::uint64_t expectedVersion, std::string value, std::uint64_t lease)
         -> std::optional<SwapResult>;
@@ -57,7 +57,7 @@
     /** Ends a lease and removes its keys. */
     auto endLease (std::uint64_t lease) -> void;
 
-    /** Ends the leases whose time is over. */
+    /** Ends all expired leases. */
     auto expireLeases (TimePoint now) -> void;
 
     /** @returns the newest version of any key, removals included. */
--- a/modules/snowrudder_fakes/service/FakeService.cpp
+++ b/modules/snowrudder_fakes/service/FakeService.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto maxAnswerBytes = std::size_t { 64 * 1024 * 1024 };
 
-/** Calls a function at its end. */
+/** Calls a function when it goes out of scope. */
 template <typename Function>
 class ScopeExit
 {
--- a/modules/snowrudder_fakes/service/FakeService.h
+++ b/modules/snowrudder_fakes/service/FakeService.h
@@ -10,25 +10,26 @@
 namespace snowrudder
 {
 
-/** Faults of one plain service, switched by `POST /faults`. */
+/** Faults of one plain service, set by `POST /faults`. */
 struct ServiceFaults
 {
     /** Calls are answered with 503 and not run. */
     bool refuse = false;
     /** Calls run, then the connection is closed without an answer. */
     bool loseAnswers = false;
-    /** Calls run and no answer comes. */
+    /** Calls run, but no answer is sent until the fault is cleared. */
     bool stall = false;
 };
 
-/** A plain service. Any path runs and is counted under the call's `Call-Key` header, with a few of its own:
+/** A fake of a plain service. A request to any path counts as a run of the key in its `Call-Key` header, except for the
+    first three of these paths:
 
-    - `GET /stats`    how often each key ran
-    - `GET /load`     calls running now
+    - `GET /stats`    the number of runs of each key
+    - `GET /load`     the number of calls that are running
     - `POST /faults`  see ServiceFaults
-    - `GET /status/N` answers with status N
-    - `GET /bytes/N`  answers with N bytes
-    - `/echo`         answers with the body that it got
+    - `GET /status/N` responds with status N
+    - `GET /bytes/N`  responds with N bytes
+    - `/echo`         responds with the body of the request
 */
 class FakeService
 {
--- a/modules/snowrudder_fakes/snowrudder_fakes.h
+++ b/modules/snowrudder_fakes/snowrudder_fakes.h
@@ -1,12 +1,13 @@
 /** @file
-    snowrudder_fakes: small stand-ins for what surrounds snowrudder: a model engine, a plain service, the platform.
+    snowrudder_fakes: simple fakes of the systems that snowrudder depends on: a model engine, a plain service, the
+    platform.
 
-    - engine/    a model engine's decisions over steps (EngineModel, pure) and its HTTP face
-    - service/   a plain service that counts what ran, by key
-    - platform/  key-value service, VM list, cloud API, weight store, each with faults switched over HTTP
-    - common/    what the three share
+    - engine/    a step-based model of an engine without input and output (EngineModel), and its HTTP server
+    - service/   a plain service that counts its runs by key
+    - platform/  key-value service, VM list, cloud API, weight store, each with faults that are injected over HTTP
+    - common/    helpers shared by the three
 
-    They are tools for tests and trials, not part of a deployment.
+    They are used in tests and experiments and are not part of a deployment.
     Depends on: snowrudder_core, snowrudder_schema, snowrudder_chat, snowrudder_net.
 */
 #pragma once
--- a/modules/snowrudder_load/client/Caller.cpp
+++ b/modules/snowrudder_load/client/Caller.cpp
@@ -15,7 +15,7 @@
 constexpr auto maxAttempts = 8;
 constexpr auto maxBodyBytes = std::size_t { 16 * 1024 * 1024 };
 
-/** What one request has seen so far. */
+/** The state of one request over all its attempts. */
 struct Progress
 {
     TimePoint startTime {};
@@ -27,7 +27,7 @@
     bool isDone = false;
     bool hasDuplicate = false;
     bool hasGap = false;
-    /** The kind of the error that ended it; empty while there is none. */
+    /** The kind of the error that ended the request; empty when there is none. */
     std::string errorKind;
     std::string ran;
     unsigned resumes = 0;
@@ -102,7 +102,7 @@
     progress.ran = ran != nullptr && ran->is_string() ? std::string (ran->get_string()) : "";
 }
 
-/** Takes one event's data. The events' identifiers are checked by the reader below. */
+/** Processes the data of one event. The identifiers of the events are checked by NumberedEventReader. */
 auto processEvent (Progress& progress, std::string_view data) -> void
 {
     if (data == "[DONE]")
@@ -135,7 +135,7 @@
         progress.hasFinishReason = true;
 }
 
-/** Cuts a router's stream into events and checks that their numbers have neither gap nor repeat. */
+/** Splits a router's stream into events and checks that their numbers have no gaps and no duplicates. */
 class NumberedEventReader
 {
 public:
@@ -194,9 +194,9 @@
     progress.hasFinishReason = true;
 }
 
-/** Reads an answer as far as it comes.
+/** Reads an answer until it ends or its connection fails.
 
-    @returns whether it came to its end
+    @returns whether the answer is complete
 */
 auto readAnswer (UpstreamCall& call, Progress& progress, bool isChat) -> Task<bool>
 {
@@ -251,8 +251,9 @@
     return request;
 }
 
-/** Asks until there is an answer: a broken stream is resumed, a keyed call is made again with its key, both at any
-    router. What may run once and has no key is asked for once.
+/** Sends a request until it has an answer or has used all attempts. A broken stream is resumed and a call with an
+    idempotency key is repeated with its key, both at any router. A call that may run only once and has no key is sent
+    once.
 */
 auto sendWithRetries (CallerThread& thread,
                       const PlannedRequest& planned,
--- a/modules/snowrudder_load/client/Caller.h
+++ b/modules/snowrudder_load/client/Caller.h
@@ -8,7 +8,7 @@
 namespace snowrudder
 {
 
-/** One thread's callers: a loop, its connections, and its share of the requests. */
+/** The state of one sending thread: its event loop, its connections, and its share of the requests. */
 struct CallerThread
 {
     CallerThread (const schema::LoadSettings& workload, const LoadPlan& loadPlan, std::uint64_t streamSeed);
@@ -27,7 +27,7 @@
 
 /** Makes one request, checks its answer, and adds both to the result.
 
-    @param direct  whether to ask an upstream and not a router
+    @param direct  whether to send the request to an upstream instead of a router
 */
 auto makeOneRequest (CallerThread& thread, LoadResult& result, PlannedRequest planned, bool direct)
     -> Task<void>;
--- a/modules/snowrudder_load/client/LoadRun.cpp
+++ b/modules/snowrudder_load/client/LoadRun.cpp
@@ -22,7 +22,7 @@
     const auto end = SteadyClock::now() + thread.plan.length;
     auto next = SteadyClock::now();
 
-    // Open loop: a request's time does not depend on the answers before it.
+    // Open loop: the time of a request does not depend on earlier answers.
     for (;;)
     {
         next += thread.source.nextInterval();
@@ -50,7 +50,7 @@
     thread.loop.stop();
 }
 
-/** Makes one call on a loop of its own and waits for it. */
+/** Makes one call on an event loop of its own and blocks until it has completed. */
 auto callBlocking (const tcp::endpoint& endpoint, std::string_view target) -> SimpleAnswer
 {
     asio::io_context loop (1);
@@ -96,7 +96,7 @@
             counts.runsByKey[std::string (key)] += count.to_number<std::uint64_t>();
 }
 
-/** Finds the upstreams for requests that are made directly. */
+/** Collects the upstreams for requests that bypass the routers. */
 auto findUpstreams (CallerThread& thread) -> void
 {
     for (const auto& vm : listVms (thread.plan))
@@ -132,7 +132,8 @@
     for (auto& thread : threads)
         thread.join();
 
-    // Requests that are not waited for any longer refer to what their callers are destroyed with.
+    // Coroutines of requests that are still open refer to members of their CallerThread, so they must end before it is
+    // destroyed.
     for (auto& caller : callers)
         caller.loop.endWaiting();
 
--- a/modules/snowrudder_load/client/LoadRun.h
+++ b/modules/snowrudder_load/client/LoadRun.h
@@ -13,35 +13,35 @@
 namespace snowrudder
 {
 
-/** How to run a workload. */
+/** The parameters of a load run. */
 struct LoadPlan
 {
-    /** Routers, as callers find them behind the platform's balancer. */
+    /** The routers that the platform's load balancer distributes callers to. */
     std::vector<tcp::endpoint> routers;
-    /** Where the VM list is, for the upstreams' counts and prices. */
+    /** Serves the VM list, which gives the upstreams and their prices. */
     tcp::endpoint platform;
     Duration length = 20s;
-    /** Answers are waited for this long after the last request. */
+    /** How long to wait for outstanding answers after the last request. */
     Duration drainTimeout = 90s;
     std::uint32_t threads = 1;
     double rateFactor = 1.0;
-    /** Makes every second request directly to an upstream. */
+    /** Sends every second request directly to an upstream. */
     bool compareDirect = false;
     LatencyTarget target;
 };
 
-/** Runs a workload and waits for its answers. */
+/** Runs a workload and waits for its answers, for up to LoadPlan::drainTimeout after the last request. */
 auto runLoad (const schema::LoadSettings& workload, const LoadPlan& plan, LoadResult& result) -> void;
 
-/** Asks all upstreams that the platform lists now, or listed at an earlier reading, for their counts: one whose VM was
-    reclaimed has still run what it ran.
+/** Queries the counts of all upstreams that the platform lists now or listed at an earlier call: the work of an upstream
+    whose VM was reclaimed counts too.
 
-    @param into  counts are added to it
-    @returns     false when the platform gives no list
+    @param into  the counts are added to it
+    @returns     false when the platform provides no VM list
 */
 auto addUpstreamCounts (const LoadPlan& plan, UpstreamCounts& into) -> bool;
 
-/** @returns what was counted between two readings. */
+/** @returns the difference of two readings of the counts. */
 auto countsBetween (const UpstreamCounts& before, UpstreamCounts after) -> UpstreamCounts;
 
 } // namespace snowrudder
--- a/modules/snowrudder_load/report/LoadReport.cpp
+++ b/modules/snowrudder_load/report/LoadReport.cpp
@@ -17,7 +17,7 @@
     return result.wrong + result.truncated + result.duplicated + result.unanswered + result.misreported;
 }
 
-/** Bins are of a fixed width, so a quantile is exact to 2.4%. */
+/** Quantiles are accurate to 2.4%, which the fixed width of the histogram's bins determines. */
 auto quantiles (const TimeHistogram& histogram) -> json::object
 {
     json::object object;
--- a/modules/snowrudder_load/report/LoadReport.h
+++ b/modules/snowrudder_load/report/LoadReport.h
@@ -17,31 +17,31 @@
 namespace snowrudder
 {
 
-/** Times that an answer must keep to count as good for the cost (letter 1). */
+/** The latencies within which an answer counts for the cost per thousand requests. */
 struct LatencyTarget
 {
     Duration firstToken = 1600ms;
     Duration betweenTokens = 30ms;
 };
 
-/** What became of the requests of one class. */
+/** The outcomes of the requests of one class. */
 struct ClassResult
 {
     std::uint64_t requests = 0;
     std::uint64_t good = 0;
-    /** Good, and within the latency target. */
+    /** Correct and within the latency target. */
     std::uint64_t withinTarget = 0;
-    /** Another text than the one that belongs to the request. */
+    /** The text is not the expected one. */
     std::uint64_t wrong = 0;
-    /** Ended without its end, or with a piece missing. */
+    /** The answer is incomplete: its end or another part is missing. */
     std::uint64_t truncated = 0;
-    /** A piece came twice, or a call that may run once ran twice. */
+    /** Part of the answer was received twice, or a call that may run once ran twice. */
     std::uint64_t duplicated = 0;
-    /** Accepted, but no answer could be had. */
+    /** The request was accepted, but no answer was received. */
     std::uint64_t unanswered = 0;
-    /** Told "not run", yet it ran; or told good, yet it never ran. */
+    /** Reported as "not run" although it ran, or as successful although it never ran. */
     std::uint64_t misreported = 0;
-    /** No connection could be made at all. */
+    /** No response to any attempt was received. */
     std::uint64_t unreachable = 0;
     std::uint64_t resumed = 0;
     std::map<std::string, std::uint64_t> errors;
@@ -51,7 +51,7 @@
     TimeHistogram total;
 };
 
-/** What callers were told of a call that may run once. */
+/** The results reported to the caller of a call that may run once. */
 struct CallRecord
 {
     std::size_t classIndex = 0;
@@ -59,27 +59,27 @@
     bool wasReportedNotRun = false;
 };
 
-/** Figures from the engines and services. */
+/** Counts reported by the engines and services. */
 struct UpstreamCounts
 {
     std::uint64_t computedPromptTokens = 0;
     std::uint64_t cachedPromptTokens = 0;
     std::uint64_t generatedTokens = 0;
-    /** An hour's price of all VMs. */
+    /** The price of all VMs per hour. */
     double price = 0.0;
     std::map<std::string, std::uint64_t> runsByKey;
-    /** Every upstream ever listed: IP-NUMBER:PORT */
+    /** All upstreams that were listed at any reading, as IP-NUMBER:PORT. */
     std::set<std::string> endpoints;
 };
 
-/** The result of one run. Any thread may add to it under its mutex. */
+/** The result of one run. Any thread may add to it while it holds the mutex. */
 struct LoadResult
 {
     explicit LoadResult (std::size_t classCount) : classes (classCount), direct (classCount) {}
 
     std::mutex mutex;
     std::deque<ClassResult> classes;
-    /** The same requests made directly to the upstream, where asked for. */
+    /** The requests sent directly to an upstream; see LoadPlan::compareDirect. */
     std::deque<ClassResult> direct;
     std::map<std::string, CallRecord> calls;
     std::set<std::uint64_t> promptBlocks;
@@ -87,16 +87,16 @@
     Duration elapsed {};
 };
 
-/** Checks the calls that may run once against the services' own counts. */
+/** Checks the calls that may run once against the run counts of the services. */
 auto checkCalls (LoadResult& result, const UpstreamCounts& counts) -> void;
 
-/** @returns prompt tokens that must be computed at least: each shared prefix once. */
+/** @returns the minimum number of prompt tokens that must be computed, which is each shared prefix once. */
 auto minPromptTokens (const LoadResult& result) -> std::uint64_t;
 
-/** @returns answers that broke a promise. */
+/** @returns the number of answers that violated a guarantee: wrong, truncated, duplicated, unanswered or misreported. */
 auto countBreaches (const LoadResult& result) -> std::uint64_t;
 
-/** Prints the report for a person. */
+/** Prints the report in a readable form to the standard output. */
 auto printReport (const LoadResult& result,
                   const UpstreamCounts& counts,
                   const schema::LoadSettings& workload) -> void;
--- a/modules/snowrudder_load/snowrudder_load.h
+++ b/modules/snowrudder_load/snowrudder_load.h
@@ -1,12 +1,12 @@
 /** @file
-    snowrudder_load: the load and checking client.
+    snowrudder_load: a load generator that checks every answer.
 
-    - workload/  what to ask: prompts and calls drawn from a fixed seed
-    - client/    asking: open loop, each answer checked against its own request, broken streams resumed
-    - report/    counts, times, recomputed tokens, cost
+    - workload/  the requests: prompts and calls drawn from a fixed seed
+    - client/    sends the requests in an open loop, checks each answer against its request, resumes broken streams
+    - report/    counts, latencies, recomputed tokens, cost
 
     Depends on: snowrudder_core, snowrudder_schema, snowrudder_settings, snowrudder_net, snowrudder_platform,
-    snowrudder_fakes (what a fake engine must answer).
+    snowrudder_fakes (the answer that a fake engine must give).
 */
 #pragma once
 
--- a/modules/snowrudder_load/workload/RequestSource.cpp
+++ b/modules/snowrudder_load/workload/RequestSource.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** @returns words that follow from a seed. */
+/** @returns pseudo-random words that are determined by the seed. */
 auto makeWords (std::uint64_t seed, std::uint32_t count) -> std::string
 {
     std::string text;
@@ -69,7 +69,7 @@
 {
     const auto& kind = *request.kind;
 
-    // Shared parts follow from the workload's seed, so that all threads share them.
+    // The shared parts are derived from the workload's seed, so that they are the same in all threads.
     const auto classSeed = hashBytes (kind.name(), settings.seed());
     const auto document = drawDocument (kind.documents());
     const auto system = makeWords (classSeed, std::max (1U, kind.shared_words()));
@@ -99,7 +99,7 @@
     const auto tokens = wordHashes (prompt);
     request.promptWords = static_cast<std::uint32_t> (tokens.size());
 
-    // Another account's cache is another cache.
+    // Client accounts don't share cached blocks, so the hashes are salted with the account's key.
     request.promptBlocks = makeChain (tokens, engineBlockTokens, hashBytes (kind.key())).blocks;
     request.body = json::serialize (body);
 }
@@ -117,7 +117,7 @@
     if (count == 0)
         return 0;
 
-    // Few documents are asked about often: rank r has a weight of 1 / (r + 1).
+    // A few documents are used most often: the document of rank r has a weight of 1 / (r + 1).
     const auto uniform = std::uniform_real_distribution<double> (0.0, 1.0) (random);
     const auto rank = std::pow (static_cast<double> (count) + 1.0, uniform) - 1.0;
     return std::min (count - 1, static_cast<std::uint32_t> (rank));
--- a/modules/snowrudder_load/workload/RequestSource.h
+++ b/modules/snowrudder_load/workload/RequestSource.h
@@ -12,33 +12,33 @@
 namespace snowrudder
 {
 
-/** One request to make, and what must come of it. */
+/** One request to make and its expected answer. */
 struct PlannedRequest
 {
     const schema::WorkloadClass* kind = nullptr;
     std::size_t classIndex = 0;
     /** The body to send. */
     std::string body;
-    /** The text that a chat completion must bring. */
+    /** The text that the answer to a chat completion must have. */
     std::string expectedText;
-    /** Block hashes and length of a chat's prompt, for the lower bound of computed tokens. */
+    /** The block hashes and the length of a chat's prompt, from which the minimum of computed tokens is derived. */
     std::vector<std::uint64_t> promptBlocks;
     std::uint32_t promptWords = 0;
-    /** Names a call, so that its runs can be counted at the service. */
+    /** Identifies a call, so that the service can count its runs. */
     std::string callKey;
 };
 
-/** Draws requests and the times between them. The same seed draws the same requests. */
+/** Draws requests and the intervals between them. The same seed always gives the same requests. */
 class RequestSource
 {
 public:
     /** @param workload   must outlive the source
-        @param streamSeed added to the workload's seed, one a thread
-        @param rateFactor multiplies every class's rate
+        @param streamSeed combined with the workload's seed; different for each thread
+        @param rateFactor multiplies the rate of each class
     */
     RequestSource (const schema::LoadSettings& workload, std::uint64_t streamSeed, double rateFactor);
 
-    /** @returns the time until the next request. */
+    /** @returns the interval until the next request. */
     auto nextInterval() -> Duration;
 
     /** @returns the next request. */
--- a/programs/snowrudder-admin.cpp
+++ b/programs/snowrudder-admin.cpp
@@ -1,7 +1,7 @@
 #include "snowrudder_admin/snowrudder_admin.h"
 #include "snowrudder_settings/snowrudder_settings.h"
 
-/** The administration API: operators read and edit the settings tree through it. */
+/** Serves the administration API, through which operators read and edit the settings tree. */
 auto main (int argumentCount, char** arguments) -> int
 {
     using namespace snowrudder;
--- a/programs/snowrudder-fake-platform.cpp
+++ b/programs/snowrudder-fake-platform.cpp
@@ -3,7 +3,7 @@
 
 #include <cstdio>
 
-/** A stand-in for the platform. */
+/** Simulates the platform. */
 auto main (int argumentCount, char** arguments) -> int
 {
     using namespace snowrudder;
--- a/programs/snowrudder-fake-service.cpp
+++ b/programs/snowrudder-fake-service.cpp
@@ -1,7 +1,7 @@
 #include "snowrudder_fakes/snowrudder_fakes.h"
 #include "snowrudder_settings/snowrudder_settings.h"
 
-/** A stand-in for one replica of a plain service. */
+/** Simulates one replica of a plain service. */
 auto main (int argumentCount, char** arguments) -> int
 {
     using namespace snowrudder;
--- a/programs/snowrudder-load.cpp
+++ b/programs/snowrudder-load.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-/** Sends a workload and checks every answer. */
+/** Sends a workload to routers and checks every answer. */
 auto main (int argumentCount, char** arguments) -> int
 {
     const auto line = readCommandLine (argumentCount, arguments, loadHelp());
--- a/programs/snowrudder-router.cpp
+++ b/programs/snowrudder-router.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/** Takes requests from callers and relays them to upstream replicas. */
+/** Receives requests from callers and relays them to upstream replicas. */
 auto main (int argumentCount, char** arguments) -> int
 {
     const auto needsSettings = false;
--- a/programs/snowrudderctl.cpp
+++ b/programs/snowrudderctl.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-/** The operators' command line. */
+/** The operators' command-line client of the administration API. */
 auto main (int argumentCount, char** arguments) -> int
 {
     using namespace snowrudder;
