--- a/tests/bench/Bench.cpp
+++ b/tests/bench/Bench.cpp
@@ -17,17 +17,17 @@
     std::string deployment;
     double load = 0.0;
     bool reclaims = false;
-    Policy policy = Policy::ours;
+    Policy policy = Policy::product;
     ServingResult result;
 };
 
 /** Replaces weights that the command line gives. */
 auto applyWeights (const CommandLine& line, ChoiceWeights& weights) -> void
 {
-    const auto number = [&line] (const char* name, double usual)
+    const auto number = [&line] (const char* name, double fallback)
     {
         const auto text = line.option (name);
-        return text.empty() ? usual : std::atof (text.c_str());
+        return text.empty() ? fallback : std::atof (text.c_str());
     };
 
     weights.recompute = number ("recompute", weights.recompute);
@@ -48,26 +48,26 @@
     plan.moveCache = line.option ("cache-moves", "yes") == "yes";
     plan.length = length;
     plan.reclaimEvery = row.reclaims ? Duration (60s) : Duration::zero();
-    row.result = ServingWorld (std::move (plan)).run();
+    row.result = ServingSimulation (std::move (plan)).run();
     return row;
 }
 
 /** Prints each class's first token p95 without and with one class that comes more often. */
 auto printFlood (double times, Duration length, const CommandLine& line) -> void
 {
-    const auto runAt = [&] (double factor)
+    const auto runWithFactor = [&] (double factor)
     {
         auto plan = deploymentPlan ("grauenfels", 0.7);
         applyWeights (line, plan.weights);
         plan.keptShare = std::atof (line.option ("kept-share", "0.35").c_str());
         plan.length = length;
         floodPlan (plan, "replies", factor);
-        return ServingWorld (std::move (plan)).run();
+        return ServingSimulation (std::move (plan)).run();
     };
 
-    auto quiet = std::async (std::launch::async, runAt, 1.0);
-    auto flooded = runAt (times);
-    auto before = quiet.get();
+    auto baseline = std::async (std::launch::async, runWithFactor, 1.0);
+    auto flooded = runWithFactor (times);
+    auto before = baseline.get();
     std::printf ("class  requests  good  first p95 quiet  flooded  ratio  good quiet  flooded\n");
 
     for (auto index = std::size_t { 0 }; index < before.classes.size(); ++index)
@@ -78,11 +78,12 @@
         if (first.requests == 0)
             continue;
 
-        const auto quietP95 = quantileOf (first.firstTokenMilliseconds, 0.95);
+        const auto baselineP95 = quantileOf (first.firstTokenMilliseconds, 0.95);
         const auto floodP95 = quantileOf (second.firstTokenMilliseconds, 0.95);
         std::printf ("%5zu %9llu %5llu %16.0f %8.0f %6.2f %11.3f %8.3f\n", index,
                      static_cast<unsigned long long> (second.requests),
-                     static_cast<unsigned long long> (second.good), quietP95, floodP95, floodP95 / quietP95,
+                     static_cast<unsigned long long> (second.good), baselineP95, floodP95,
+                     floodP95 / baselineP95,
                      static_cast<double> (first.good) / static_cast<double> (first.requests),
                      static_cast<double> (second.good) / static_cast<double> (second.requests));
     }
@@ -132,7 +133,7 @@
             { "full-occupancy", "X", "weight" },
             { "anchor-bytes", "N", "weight" } } });
     const auto length = std::chrono::seconds (std::atoi (line.option ("seconds", "300").c_str()));
-    const auto only = line.option ("policy");
+    const auto onlyPolicy = line.option ("policy");
     const auto onlyLoad = std::atof (line.option ("load", "0").c_str());
 
     if (const auto flood = line.option ("flood"); ! flood.empty())
@@ -147,7 +148,8 @@
         for (const auto reclaims : { false, true })
             for (const auto load : { 0.5, 0.75, 0.9 })
                 for (const auto policy : allPolicies)
-                    if ((only.empty() || only == toString (policy)) && (onlyLoad == 0.0 || onlyLoad == load))
+                    if ((onlyPolicy.empty() || onlyPolicy == toString (policy)) &&
+                        (onlyLoad == 0.0 || onlyLoad == load))
                         rows.push_back (std::async (std::launch::async, runRow,
                                                     Row { deployment, load, reclaims, policy, {} }, length,
                                                     line));
--- a/tests/bench/BenchPlans.cpp
+++ b/tests/bench/BenchPlans.cpp
@@ -29,7 +29,7 @@
     return std::string (SNOWRUDDER_SOURCE_FOLDER) + "/deployments/" + deployment + "/" + name;
 }
 
-auto committedTree (const std::string& deployment) -> FleetView
+auto readTree (const std::string& deployment) -> FleetView
 {
     schema::FleetSettings tree;
 
@@ -69,7 +69,7 @@
     plan.engine.prefillTokensPerStep = 400;
     plan.engine.queueLimit = 512;
     plan.prices = isGrauenfels ? std::vector { 2.9, 3.1, 2.7, 3.4 } : std::vector { 1.9, 2.1, 1.6, 2.4 };
-    applyTree (committedTree (deployment), plan);
+    applyTree (readTree (deployment), plan);
 
     const auto slots = static_cast<double> (plan.engines * plan.engine.slots);
     plan.rateFactor = load * slots / busySlots (plan.workload);
--- a/tests/bench/BenchPlans.h
+++ b/tests/bench/BenchPlans.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ServingWorld.h"
+#include "ServingSimulation.h"
 
 #include <string>
 
--- a/tests/bench/BenchTests.cpp
+++ b/tests/bench/BenchTests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-auto runPlan (const std::string& deployment, double load, bool reclaims, Policy policy = Policy::ours)
+auto runPlan (const std::string& deployment, double load, bool reclaims, Policy policy = Policy::product)
     -> ServingResult
 {
     auto plan = deploymentPlan (deployment, load);
@@ -20,7 +20,7 @@
     if (reclaims)
         plan.reclaimEvery = 60s;
 
-    return ServingWorld (std::move (plan)).run();
+    return ServingSimulation (std::move (plan)).run();
 }
 
 auto recomputeFactor (const ServingResult& result) -> double
@@ -68,12 +68,12 @@
 
 TEST_CASE ("the choice beats two choices on tokens and least loaded on the first token")
 {
-    const auto ours = runPlan ("grauenfels", 0.75, false);
+    const auto product = runPlan ("grauenfels", 0.75, false);
     const auto twoChoices = runPlan ("grauenfels", 0.75, false, Policy::twoChoices);
     const auto leastLoaded = runPlan ("grauenfels", 0.75, false, Policy::leastLoaded);
-    CHECK (static_cast<double> (ours.computedPromptTokens) <
+    CHECK (static_cast<double> (product.computedPromptTokens) <
            0.6 * static_cast<double> (twoChoices.computedPromptTokens));
-    CHECK (ours.firstTokenP95 <= leastLoaded.firstTokenP95);
+    CHECK (product.firstTokenP95 <= leastLoaded.firstTokenP95);
 }
 
 namespace
@@ -83,10 +83,10 @@
 
 /** Calls visit (before, after) for each class of another account, without and with one account's flood. */
 template <typename Visitor>
-auto forEachOther (Visitor&& visit) -> void
+auto forEachOtherClass (Visitor&& visit) -> void
 {
-    auto quiet = ServingWorld (floodedPlan (0.7, "replies", 1.0)).run();
-    auto flooded = ServingWorld (floodedPlan (0.7, "replies", 10.0)).run();
+    auto quiet = ServingSimulation (floodedPlan (0.7, "replies", 1.0)).run();
+    auto flooded = ServingSimulation (floodedPlan (0.7, "replies", 10.0)).run();
 
     for (auto index = std::size_t { 0 }; index < quiet.classes.size(); ++index)
         if (index != floodingClass && quiet.classes[index].requests > 0)
@@ -102,7 +102,7 @@
 
 TEST_CASE ("one account's flood takes no goodput from the others")
 {
-    forEachOther (
+    forEachOtherClass (
         [] (const ServingClass& before, ServingClass& after)
         {
             CHECK (goodShare (after) >= 0.98 * goodShare (before));
@@ -112,7 +112,7 @@
 
 TEST_CASE ("one account's flood does not slow the others")
 {
-    forEachOther (
+    forEachOtherClass (
         [] (ServingClass& before, ServingClass& after)
         {
             const auto quiet = quantileOf (before.firstTokenMilliseconds, 0.95);
@@ -144,6 +144,6 @@
     plan.length = 120s;
     plan.outageFrom = 40s;
     plan.outageLength = 20s;
-    const auto result = ServingWorld (std::move (plan)).run();
+    const auto result = ServingSimulation (std::move (plan)).run();
     CHECK (static_cast<double> (result.attempts) < 1.1 * static_cast<double> (result.requests));
 }
--- a/tests/bench/Policies.cpp
+++ b/tests/bench/Policies.cpp
@@ -24,7 +24,7 @@
     return usable;
 }
 
-auto choose (std::size_t index, std::size_t usable, const ChoiceInput& input) -> std::optional<Choice>
+auto makeChoice (std::size_t index, std::size_t usable, const ChoiceInput& input) -> std::optional<Choice>
 {
     Candidate candidate;
     candidate.index = index;
@@ -59,17 +59,17 @@
             return "two choices";
         case Policy::prefixHash:
             return "prefix hash";
-        case Policy::ours:
+        case Policy::product:
             break;
     }
 
     return "ours";
 }
 
-auto chooserOf (Policy policy, PolicyState& state, const ChoiceWeights& weights, TimePoint now)
+auto makeChooser (Policy policy, PolicyState& state, const ChoiceWeights& weights, TimePoint now)
     -> ReplicaTable::Chooser
 {
-    if (policy == Policy::ours)
+    if (policy == Policy::product)
         return [&weights, now] (std::span<const ReplicaState> replicas, const ChoiceInput& input)
         { return chooseReplica (replicas, input, weights, now); };
 
@@ -84,13 +84,13 @@
         const auto draw = [&] { return usable[state.random() % usable.size()]; };
 
         if (policy == Policy::random)
-            return choose (draw(), usable.size(), input);
+            return makeChoice (draw(), usable.size(), input);
 
         if (policy == Policy::roundRobin)
-            return choose (usable[state.next++ % usable.size()], usable.size(), input);
+            return makeChoice (usable[state.next++ % usable.size()], usable.size(), input);
 
         if (policy == Policy::twoChoices)
-            return choose (lessLoaded (replicas, draw(), draw(), now), usable.size(), input);
+            return makeChoice (lessLoaded (replicas, draw(), draw(), now), usable.size(), input);
 
         if (policy == Policy::leastLoaded)
         {
@@ -101,7 +101,7 @@
             for (auto step = std::size_t { 1 }; step < usable.size(); ++step)
                 best = lessLoaded (replicas, best, usable[(start + step) % usable.size()], now);
 
-            return choose (best, usable.size(), input);
+            return makeChoice (best, usable.size(), input);
         }
 
         const auto anchorBlock = std::min (weights.anchorBytes / promptBlockBytes, input.blocks.size());
@@ -110,7 +110,7 @@
         const auto best = *std::ranges::max_element (
             usable, {},
             [&] (std::size_t index) { return rendezvousValue (anchor, replicas[index].info.name); });
-        return choose (best, usable.size(), input);
+        return makeChoice (best, usable.size(), input);
     };
 }
 
--- a/tests/bench/Policies.h
+++ b/tests/bench/Policies.h
@@ -17,11 +17,11 @@
     twoChoices,
     /** The hash ranking alone, without a look at load or own knowledge. */
     prefixHash,
-    ours
+    product
 };
 
 inline constexpr auto allPolicies = { Policy::random,     Policy::roundRobin, Policy::leastLoaded,
-                                      Policy::twoChoices, Policy::prefixHash, Policy::ours };
+                                      Policy::twoChoices, Policy::prefixHash, Policy::product };
 
 auto toString (Policy policy) -> std::string_view;
 
@@ -33,7 +33,7 @@
 };
 
 /** @returns a chooser for ReplicaTable::takeBy. */
-auto chooserOf (Policy policy, PolicyState& state, const ChoiceWeights& weights, TimePoint now)
+auto makeChooser (Policy policy, PolicyState& state, const ChoiceWeights& weights, TimePoint now)
     -> ReplicaTable::Chooser;
 
 } // namespace snowrudder
--- a/tests/bench/ServingWorld.cpp
+++ b/tests/bench/ServingSimulation.cpp
@@ -1,4 +1,4 @@
-#include "ServingWorld.h"
+#include "ServingSimulation.h"
 
 #include "snowrudder_chat/snowrudder_chat.h"
 #include "snowrudder_fakes/engine/AnswerText.h"
@@ -18,11 +18,11 @@
 constexpr auto reportLag = 300ms;
 constexpr auto listLag = 800ms;
 constexpr auto noticeTime = 5s;
-constexpr auto mostQueued = std::uint32_t { 512 };
+constexpr auto maxQueued = std::uint32_t { 512 };
 constexpr auto deadline = 60s;
 
 /** The world starts with empty caches and counts from the first request on. */
-constexpr auto allEvents = std::numeric_limits<std::size_t>::max();
+constexpr auto unlimitedEvents = std::numeric_limits<std::size_t>::max();
 
 } // namespace
 
@@ -32,12 +32,12 @@
         return 0.0;
 
     std::ranges::sort (values);
-    const auto place = static_cast<std::size_t> (share * static_cast<double> (values.size() - 1));
-    return values[place];
+    const auto rank = static_cast<std::size_t> (share * static_cast<double> (values.size() - 1));
+    return values[rank];
 }
 
-ServingWorld::ServingWorld (ServingPlan servingPlan)
-    : plan (std::move (servingPlan)), time (plan.workload.seed() + 1, allEvents),
+ServingSimulation::ServingSimulation (ServingPlan servingPlan)
+    : plan (std::move (servingPlan)), time (plan.workload.seed() + 1, unlimitedEvents),
       source (plan.workload, 0, plan.rateFactor), firstTime (time.now()), engines (plan.engines),
       routers (plan.routers)
 {
@@ -53,24 +53,24 @@
     setWindows();
     time.after (stepTime, [this] { stepEngines(); });
     time.after (reportInterval, [this] { reportLoads(); });
-    time.after (source.nextInterval(), [this] { arrive(); });
+    time.after (source.nextInterval(), [this] { receiveRequest(); });
 
     if (plan.reclaimEvery > Duration::zero())
         time.after (plan.reclaimEvery, [this] { reclaim(); });
 }
 
-auto ServingWorld::run() -> ServingResult
+auto ServingSimulation::run() -> ServingResult
 {
     time.run (plan.length + deadline);
     return summarise();
 }
 
-auto ServingWorld::addEngine (std::size_t slot) -> void
+auto ServingSimulation::addEngine (std::size_t slot) -> void
 {
     auto& engine = engines[slot];
 
     if (engine.model)
-        retiredComputed += engine.model->counts().computedPromptTokens;
+        retiredComputedTokens += engine.model->counts().computedPromptTokens;
 
     ++engine.generation;
     engine.info.name = "engine-" + std::to_string (slot);
@@ -80,34 +80,34 @@
     engine.info.endpoint = engine.info.vm;
     engine.info.slots = plan.engine.slots;
     engine.model = std::make_unique<EngineModel> (plan.engine);
-    engine.alive = true;
-    engine.leaving = false;
+    engine.isAlive = true;
+    engine.isLeaving = false;
 }
 
-auto ServingWorld::listEngines() -> void
+auto ServingSimulation::listEngines() -> void
 {
     std::vector<ListedReplica> listed;
 
     for (const auto& engine : engines)
-        if (engine.alive)
-            listed.push_back ({ engine.info, engine.leaving });
+        if (engine.isAlive)
+            listed.push_back ({ engine.info, engine.isLeaving });
 
     for (auto& router : routers)
         router.replicas.update (listed, time.now());
 }
 
-auto ServingWorld::isOutage() const -> bool
+auto ServingSimulation::isInOutage() const -> bool
 {
     const auto since = time.now() - firstTime;
     return plan.outageLength > Duration::zero() && since >= plan.outageFrom &&
            since < plan.outageFrom + plan.outageLength;
 }
 
-auto ServingWorld::stepEngines() -> void
+auto ServingSimulation::stepEngines() -> void
 {
     for (auto& engine : engines)
     {
-        if (! engine.alive)
+        if (! engine.isAlive)
             continue;
 
         constexpr auto hour = std::chrono::duration<double> (1h);
@@ -117,25 +117,25 @@
 
         for (const auto& step : engine.model->step())
             if (const auto found = byEngineId.find (step.id); found != byEngineId.end())
-                take (found->second, step);
+                receiveToken (found->second, step);
     }
 
     if (time.now() - firstTime < plan.length + deadline)
         time.after (stepTime, [this] { stepEngines(); });
 }
 
-auto ServingWorld::reportLoads() -> void
+auto ServingSimulation::reportLoads() -> void
 {
     if (plan.useReports)
     {
         for (const auto& engine : engines)
         {
-            if (! engine.alive)
+            if (! engine.isAlive)
                 continue;
 
             const LoadReport report { engine.model->running(), engine.model->waiting(),
                                       static_cast<double> (engine.model->pendingPromptTokens()),
-                                      engine.leaving };
+                                      engine.isLeaving };
 
             time.after (reportLag,
                         [this, report, vm = engine.info.vm]
@@ -156,7 +156,7 @@
     time.after (reportInterval, [this] { reportLoads(); });
 }
 
-auto ServingWorld::setWindows() -> void
+auto ServingSimulation::setWindows() -> void
 {
     for (auto& router : routers)
     {
@@ -169,17 +169,17 @@
         for (const auto ticket : router.queue.takeExpired (time.now()))
         {
             ++result.classes[requests[ticket]->planned.classIndex].refused;
-            requests[ticket]->ended = true;
+            requests[ticket]->isEnded = true;
         }
     }
 }
 
-auto ServingWorld::arrive() -> void
+auto ServingSimulation::receiveRequest() -> void
 {
     if (time.now() - firstTime >= plan.length)
         return;
 
-    time.after (source.nextInterval(), [this] { arrive(); });
+    time.after (source.nextInterval(), [this] { receiveRequest(); });
     auto planned = source.next();
 
     if (planned.kind->shape() != schema::CHAT)
@@ -194,12 +194,12 @@
     request->promptTokens = estimateTokens (prompt.size());
     request->seed = answerSeed (planned.kind->model(), prompt);
     request->length = std::min (answerLength (request->seed), std::max (1U, planned.kind->max_tokens()));
-    request->begun = time.now();
+    request->receivedAt = time.now();
     request->router =
         static_cast<std::size_t> (time.draw (0, static_cast<std::int64_t> (routers.size()) - 1));
 
     uniqueBlocks.insert (planned.promptBlocks.begin(), planned.promptBlocks.end());
-    remainders += planned.promptWords % engineBlockTokens;
+    remainderTokens += planned.promptWords % engineBlockTokens;
     ++result.requests;
     ++result.classes[planned.classIndex].requests;
 
@@ -211,11 +211,11 @@
     queued.account = planned.kind->key();
     queued.weight = weightOf (queued.account);
     queued.cost = request->promptTokens + request->length;
-    queued.deadline = time.now() + plan.longestWait;
+    queued.deadline = time.now() + plan.maxQueueTime;
     request->planned = std::move (planned);
     requests.push_back (std::move (request));
 
-    const auto answer = router.queue.request (queued, mostQueued, time.now());
+    const auto answer = router.queue.request (queued, maxQueued, time.now());
 
     if (answer.verdict == QueueVerdict::start)
     {
@@ -224,23 +224,23 @@
     else if (answer.verdict == QueueVerdict::refuse)
     {
         ++result.classes[requests[index]->planned.classIndex].refused;
-        requests[index]->ended = true;
+        requests[index]->isEnded = true;
     }
 }
 
-auto ServingWorld::weightOf (const std::string& key) const -> std::uint32_t
+auto ServingSimulation::weightOf (const std::string& key) const -> std::uint32_t
 {
     const auto found = plan.weightByKey.find (key);
     return found == plan.weightByKey.end() ? 1 : found->second;
 }
 
-auto ServingWorld::start (std::size_t index) -> void
+auto ServingSimulation::start (std::size_t index) -> void
 {
-    requests[index]->started = time.now();
+    requests[index]->dispatchedAt = time.now();
     attempt (index);
 }
 
-auto ServingWorld::attempt (std::size_t index) -> void
+auto ServingSimulation::attempt (std::size_t index) -> void
 {
     auto& request = *requests[index];
     auto& router = routers[request.router];
@@ -253,7 +253,7 @@
     input.isOverShare = isOverShare;
     input.routers = routers.size();
     const auto taken = router.replicas.takeBy (
-        service, input, chooserOf (plan.policy, router.policy, plan.weights, time.now()), time.now());
+        service, input, makeChooser (plan.policy, router.policy, plan.weights, time.now()), time.now());
 
     if (! taken)
     {
@@ -268,7 +268,7 @@
     const auto found = std::ranges::find_if (engines, [&] (const Engine& engine)
                                              { return engine.info.vm == taken->ticket.info.vm; });
 
-    if (found == engines.end() || ! found->alive || isOutage())
+    if (found == engines.end() || ! found->isAlive || isInOutage())
     {
         fail (index, { CallStage::planned, FailureCause::connectFailed });
         return;
@@ -277,20 +277,20 @@
     EngineRequest call;
     call.id = nextEngineId++;
     call.seed = request.seed;
-    call.firstPosition = request.done;
+    call.firstPosition = request.generatedTokens;
     call.lastPosition = request.length;
     call.promptTokens = request.tokens;
     call.priority = isOverShare ? 15 : 5;
     call.cacheSalt = hashBytes (request.planned.kind->key());
 
-    if (request.done > 0)
+    if (request.generatedTokens > 0)
     {
-        for (auto position = std::uint32_t { 0 }; position < request.done; ++position)
+        for (auto position = std::uint32_t { 0 }; position < request.generatedTokens; ++position)
             call.promptTokens.push_back (wordHashes (answerWord (request.seed, position)).front());
     }
 
-    if (! request.carriedBlocks.empty())
-        found->model->importBlocks (std::exchange (request.carriedBlocks, {}));
+    if (! request.movedBlocks.empty())
+        found->model->importBlocks (std::exchange (request.movedBlocks, {}));
 
     request.engine = static_cast<std::size_t> (found - engines.begin());
     request.engineId = call.id;
@@ -300,7 +300,7 @@
         fail (index, { CallStage::answering, FailureCause::refused });
 }
 
-auto ServingWorld::take (std::size_t index, const EngineStep& step) -> void
+auto ServingSimulation::receiveToken (std::size_t index, const EngineStep& step) -> void
 {
     auto& request = *requests[index];
 
@@ -311,26 +311,26 @@
         routers[request.router].replicas.noteAnswering (*request.ticket, request.blocks, step.cachedTokens);
 
     request.lastToken = time.now();
-    ++request.done;
+    ++request.generatedTokens;
 
     if (! step.finished)
         return;
 
     releaseTicket (request, AttemptHealth::good);
     auto& entry = result.classes[request.planned.classIndex];
-    const auto firstToken = request.firstToken - request.begun;
-    const auto gap = (request.lastToken - request.firstToken) / std::max (1U, request.done - 1);
+    const auto firstToken = request.firstToken - request.receivedAt;
+    const auto gap = (request.lastToken - request.firstToken) / std::max (1U, request.generatedTokens - 1);
     const LatencyTarget target;
 
     ++entry.good;
     entry.firstTokenMilliseconds.push_back (inMilliseconds (firstToken));
-    gaps.push_back (inMilliseconds (gap));
+    tokenIntervals.push_back (inMilliseconds (gap));
     if (firstToken <= target.firstToken && gap <= target.betweenTokens)
     {
         ++entry.withinTarget;
         result.tokensWithinTarget += request.length;
     }
-    else if (request.started - request.begun <= target.firstToken)
+    else if (request.dispatchedAt - request.receivedAt <= target.firstToken)
     {
         ++result.slowOnReplica;
     }
@@ -338,7 +338,7 @@
     end (index);
 }
 
-auto ServingWorld::releaseTicket (Request& request, AttemptHealth health) -> void
+auto ServingSimulation::releaseTicket (Request& request, AttemptHealth health) -> void
 {
     byEngineId.erase (request.engineId);
     request.engineId = 0;
@@ -349,7 +349,7 @@
     request.ticket.reset();
 }
 
-auto ServingWorld::fail (std::size_t index, AttemptOutcome outcome) -> void
+auto ServingSimulation::fail (std::size_t index, AttemptOutcome outcome) -> void
 {
     auto& request = *requests[index];
     const auto health = outcome.cause == FailureCause::connectFailed ? AttemptHealth::unreachable
@@ -359,9 +359,10 @@
 
     RetryInput input;
     input.repeatable = true;
-    input.answerBegun = request.done > 0;
-    input.attempts = outcome.cause == FailureCause::moved ? request.counted : ++request.counted;
-    input.deadline = request.begun + deadline;
+    input.answerBegun = request.generatedTokens > 0;
+    input.attempts =
+        outcome.cause == FailureCause::moved ? request.countedAttempts : ++request.countedAttempts;
+    input.deadline = request.receivedAt + deadline;
     input.jitter = static_cast<double> (time.draw (0, 1000)) / 1000.0;
     auto decision = decideAfterFailure (outcome, input, time.now());
 
@@ -378,19 +379,19 @@
     end (index);
 }
 
-auto ServingWorld::end (std::size_t index) -> void
+auto ServingSimulation::end (std::size_t index) -> void
 {
     auto& request = *requests[index];
-    request.ended = true;
+    request.isEnded = true;
     request.tokens = {};
     request.blocks = {};
 
-    for (const auto ticket : routers[request.router].queue.finish (request.planned.kind->key(),
-                                                                   time.now() - request.started, time.now()))
+    for (const auto ticket : routers[request.router].queue.finish (
+             request.planned.kind->key(), time.now() - request.dispatchedAt, time.now()))
         start (ticket);
 }
 
-auto ServingWorld::reclaim() -> void
+auto ServingSimulation::reclaim() -> void
 {
     const auto domain = "domain-" + std::to_string (nextDomain++ % plan.domains);
 
@@ -398,14 +399,14 @@
     {
         auto& engine = engines[slot];
 
-        if (engine.info.failureDomain != domain || ! engine.alive)
+        if (engine.info.failureDomain != domain || ! engine.isAlive)
             continue;
 
-        engine.leaving = true;
+        engine.isLeaving = true;
         time.after (noticeTime,
                     [this, slot]
                     {
-                        engines[slot].alive = false;
+                        engines[slot].isAlive = false;
                         listEngines();
                     });
         time.after (plan.reclaimEvery / 2,
@@ -426,14 +427,14 @@
                     {
                         auto& request = *requests[index];
 
-                        if (request.ended || ! request.ticket ||
+                        if (request.isEnded || ! request.ticket ||
                             engines[request.engine].info.failureDomain != domain)
                             continue;
 
                         auto& model = *engines[request.engine].model;
 
                         if (plan.moveCache)
-                            request.carriedBlocks = model.exportBlocks (request.engineId);
+                            request.movedBlocks = model.exportBlocks (request.engineId);
 
                         model.cancel (request.engineId);
                         ++result.moves;
@@ -443,10 +444,10 @@
     time.after (plan.reclaimEvery, [this] { reclaim(); });
 }
 
-auto ServingWorld::summarise() -> ServingResult
+auto ServingSimulation::summarise() -> ServingResult
 {
     std::vector<double> firstTokens;
-    result.computedPromptTokens = retiredComputed;
+    result.computedPromptTokens = retiredComputedTokens;
 
     for (const auto& engine : engines)
         result.computedPromptTokens += engine.model->counts().computedPromptTokens;
@@ -460,15 +461,15 @@
 
     constexpr auto p95 = 0.95;
     constexpr auto thousand = 1000.0;
-    const auto runPart =
+    const auto measuredShare =
         std::chrono::duration<double> (plan.length) / std::chrono::duration<double> (plan.length + deadline);
-    result.minPromptTokens = uniqueBlocks.size() * engineBlockTokens + remainders;
+    result.minPromptTokens = uniqueBlocks.size() * engineBlockTokens + remainderTokens;
     result.firstTokenP95 = quantileOf (firstTokens, p95);
-    result.betweenTokensP95 = quantileOf (gaps, p95);
+    result.betweenTokensP95 = quantileOf (tokenIntervals, p95);
 
     if (result.withinTarget > 0)
         result.costPerThousand =
-            engineHoursPrice * runPart / static_cast<double> (result.withinTarget) * thousand;
+            engineHoursPrice * measuredShare / static_cast<double> (result.withinTarget) * thousand;
 
     return result;
 }
--- a/tests/bench/ServingWorld.h
+++ b/tests/bench/ServingSimulation.h
@@ -29,7 +29,7 @@
     EngineLimits engine;
     /** An engine's price an hour, by failure domain. */
     std::vector<double> prices;
-    Policy policy = Policy::ours;
+    Policy policy = Policy::product;
     ChoiceWeights weights;
     /** Shares of the client accounts, by their keys. */
     std::map<std::string, std::uint32_t> weightByKey;
@@ -37,7 +37,7 @@
     double rateFactor = 1.0;
     Duration length = 300s;
     /** In a router's queue, before the request is refused. */
-    Duration longestWait = 1200ms;
+    Duration maxQueueTime = 1200ms;
     /** Share of the slots that accounts that flood leave to the others. */
     double keptShare = ServiceCapacity::usualKeptShare;
     /** A failure domain is reclaimed this often, and comes back after half of it; zero for never. */
@@ -85,10 +85,10 @@
     window, ReplicaTable, RetryDecision; the engines are the stand-in's model; load reports come late. Everything
     follows from the seed, so that a figure can be bounded in CI.
 */
-class ServingWorld
+class ServingSimulation
 {
 public:
-    explicit ServingWorld (ServingPlan servingPlan);
+    explicit ServingSimulation (ServingPlan servingPlan);
 
     auto run() -> ServingResult;
 
@@ -97,8 +97,8 @@
     {
         ReplicaInfo info;
         std::unique_ptr<EngineModel> model;
-        bool alive = true;
-        bool leaving = false;
+        bool isAlive = true;
+        bool isLeaving = false;
         std::uint64_t generation = 0;
     };
 
@@ -115,23 +115,23 @@
     {
         PlannedRequest planned;
         std::size_t router = 0;
-        TimePoint begun {};
-        TimePoint started {};
+        TimePoint receivedAt {};
+        TimePoint dispatchedAt {};
         std::vector<std::uint64_t> tokens;
         std::vector<std::uint64_t> blocks;
         double promptTokens = 0.0;
         std::uint32_t length = 0;
         std::uint64_t seed = 0;
-        std::uint32_t done = 0;
-        std::uint32_t counted = 0;
+        std::uint32_t generatedTokens = 0;
+        std::uint32_t countedAttempts = 0;
         std::optional<ReplicaTicket> ticket;
         std::size_t engine = 0;
         std::uint64_t engineId = 0;
         std::vector<ReplicaNumber> tried;
-        std::vector<std::uint64_t> carriedBlocks;
+        std::vector<std::uint64_t> movedBlocks;
         TimePoint firstToken {};
         TimePoint lastToken {};
-        bool ended = false;
+        bool isEnded = false;
     };
 
     auto addEngine (std::size_t slot) -> void;
@@ -139,16 +139,16 @@
     auto stepEngines() -> void;
     auto reportLoads() -> void;
     auto setWindows() -> void;
-    auto arrive() -> void;
+    auto receiveRequest() -> void;
     [[nodiscard]] auto weightOf (const std::string& key) const -> std::uint32_t;
     auto start (std::size_t index) -> void;
     auto attempt (std::size_t index) -> void;
-    auto take (std::size_t index, const EngineStep& step) -> void;
+    auto receiveToken (std::size_t index, const EngineStep& step) -> void;
     auto fail (std::size_t index, AttemptOutcome outcome) -> void;
     auto end (std::size_t index) -> void;
     auto releaseTicket (Request& request, AttemptHealth health) -> void;
     auto reclaim() -> void;
-    auto isOutage() const -> bool;
+    auto isInOutage() const -> bool;
     auto summarise() -> ServingResult;
 
     ServingPlan plan;
@@ -160,13 +160,13 @@
     std::vector<std::unique_ptr<Request>> requests;
     std::map<std::uint64_t, std::size_t> byEngineId;
     std::set<std::uint64_t> uniqueBlocks;
-    std::uint64_t remainders = 0;
+    std::uint64_t remainderTokens = 0;
     std::uint64_t nextEngineId = 1;
-    std::uint64_t retiredComputed = 0;
+    std::uint64_t retiredComputedTokens = 0;
     std::size_t nextDomain = 0;
     double engineHoursPrice = 0.0;
     ServingResult result;
-    std::vector<double> gaps;
+    std::vector<double> tokenIntervals;
 };
 
 /** @returns the value that a share of all does not exceed. Sorts the values. */
--- a/tests/random/Breakage.h
+++ b/tests/random/InjectedBug.h
@@ -6,11 +6,11 @@
 {
 
 /** One promise broken on purpose, to show that the randomised run finds it. */
-enum class Breakage
+enum class InjectedBug
 {
     none,
     /** An owner acts on a lapsed lease. */
-    actsPastLease,
+    actsAfterLeaseExpiry,
     /** A new owner takes every unknown key for new. */
     forgetsEarlierKeys,
     /** A key is forgotten when its call may have run. */
@@ -18,55 +18,55 @@
     /** A restarted router registers while its earlier run's lease lives. */
     registersTwice,
     /** A call that may have run is made again. */
-    repeatsWhatMayHaveRun,
+    retriesUnsafely,
     /** A handover gives the slot but not its keys. */
     handsOverNoKeys,
     /** A lost answer is told as "not run". */
-    tellsNotRunFalsely,
+    reportsNotRunFalsely,
     /** A stream goes on from its beginning on the next replica. */
-    streamsFromTheStart,
+    restartsStreams,
     /** A given-up attempt's late pieces are taken. */
-    takesLatePieces,
+    acceptsLateChunks,
     /** A list that calls a leaving replica live again is believed. */
-    believesLateLists,
+    acceptsOutdatedLists,
     /** An edit of the settings is not looked for after a lost answer. */
-    readsNoMarks,
+    ignoresEditIds,
     /** The settings are written whatever stands there. */
-    writesBlindly
+    overwritesUnconditionally
 };
 
-inline constexpr auto lastBreakage = Breakage::writesBlindly;
+inline constexpr auto lastInjectedBug = InjectedBug::overwritesUnconditionally;
 
 /** @returns the name, for messages. */
-constexpr auto toString (Breakage breakage) -> std::string_view
+constexpr auto toString (InjectedBug bug) -> std::string_view
 {
-    switch (breakage)
+    switch (bug)
     {
-        case Breakage::none:
+        case InjectedBug::none:
             return "none";
-        case Breakage::actsPastLease:
+        case InjectedBug::actsAfterLeaseExpiry:
             return "acts-past-lease";
-        case Breakage::forgetsEarlierKeys:
+        case InjectedBug::forgetsEarlierKeys:
             return "forgets-earlier-keys";
-        case Breakage::forgetsUncertainKeys:
+        case InjectedBug::forgetsUncertainKeys:
             return "forgets-uncertain-keys";
-        case Breakage::registersTwice:
+        case InjectedBug::registersTwice:
             return "registers-twice";
-        case Breakage::repeatsWhatMayHaveRun:
+        case InjectedBug::retriesUnsafely:
             return "repeats-what-may-have-run";
-        case Breakage::handsOverNoKeys:
+        case InjectedBug::handsOverNoKeys:
             return "hands-over-no-keys";
-        case Breakage::tellsNotRunFalsely:
+        case InjectedBug::reportsNotRunFalsely:
             return "tells-not-run-falsely";
-        case Breakage::streamsFromTheStart:
+        case InjectedBug::restartsStreams:
             return "streams-from-the-start";
-        case Breakage::takesLatePieces:
+        case InjectedBug::acceptsLateChunks:
             return "takes-late-pieces";
-        case Breakage::believesLateLists:
+        case InjectedBug::acceptsOutdatedLists:
             return "believes-late-lists";
-        case Breakage::readsNoMarks:
+        case InjectedBug::ignoresEditIds:
             return "reads-no-marks";
-        case Breakage::writesBlindly:
+        case InjectedBug::overwritesUnconditionally:
             return "writes-blindly";
     }
 
--- a/tests/random/KeyedWorld.cpp
+++ b/tests/random/KeyedCallSimulation.cpp
@@ -1,4 +1,4 @@
-#include "KeyedWorld.h"
+#include "KeyedCallSimulation.h"
 
 #include <algorithm>
 
@@ -11,33 +11,33 @@
 constexpr auto routerCount = std::size_t { 3 };
 
 /** A router of the first one's name, started while that one is only paused. */
-constexpr auto twin = routerCount;
-constexpr auto keepInterval = 1s;
+constexpr auto duplicateRouter = routerCount;
+constexpr auto maintenanceInterval = 1s;
 constexpr auto runLength = std::chrono::minutes (5);
-constexpr auto largestOffset = std::int64_t { 120 };
+constexpr auto maxClockOffset = std::int64_t { 120 };
 
 } // namespace
 
-KeyedWorld::KeyedWorld (std::uint64_t seed, Breakage testedBreakage, std::size_t mostEvents)
-    : time (seed, mostEvents), breakage (testedBreakage), routers (routerCount + 1)
+KeyedCallSimulation::KeyedCallSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents)
+    : time (seed, maxEvents), bug (injectedBug), routers (routerCount + 1)
 {
     times.lease = 10s;
     times.margin = 2s;
 
     for (auto index = std::size_t { 0 }; index < routers.size(); ++index)
     {
-        routers[index].name = "r" + std::to_string (index % twin);
-        routers[index].clockOffset = std::chrono::milliseconds (time.draw (-largestOffset, largestOffset));
+        routers[index].name = "r" + std::to_string (index % duplicateRouter);
+        routers[index].clockOffset = std::chrono::milliseconds (time.draw (-maxClockOffset, maxClockOffset));
 
-        if (index != twin)
+        if (index != duplicateRouter)
             start (routers[index]);
     }
 
     time.after (2s, [this] { sendCall(); });
-    time.after (5s, [this] { faults(); });
+    time.after (5s, [this] { injectFault(); });
 }
 
-auto KeyedWorld::run() -> void
+auto KeyedCallSimulation::run() -> void
 {
     time.run (runLength);
 
@@ -45,11 +45,11 @@
     {
         const auto count = runs[call.entry.key];
         expect (count <= 1, "a request marked not repeatable runs at most once");
-        expect (! call.toldGood || count == 1, "an answer told as good was made");
+        expect (! call.wasReportedSuccessful || count == 1, "an answer told as good was made");
     }
 }
 
-auto KeyedWorld::start (Router& router) -> void
+auto KeyedCallSimulation::start (Router& router) -> void
 {
     const auto index = static_cast<std::size_t> (&router - routers.data());
     const auto incarnation = router.incarnation + 1;
@@ -61,19 +61,19 @@
     router.incarnation = incarnation;
     router.alive = true;
     router.table = KeyTable (times);
-    note ("start " + name);
-    onRouter (index, incarnation, time.drawTime (0s, keepInterval),
-              [this, index, incarnation] { keep (index, incarnation); });
+    logEvent ("start " + name);
+    scheduleOnRouter (index, incarnation, time.drawTime (0s, maintenanceInterval),
+                      [this, index, incarnation] { runMaintenance (index, incarnation); });
 }
 
-auto KeyedWorld::restart (Router& router) -> void
+auto KeyedCallSimulation::restart (Router& router) -> void
 {
     router.alive = false;
-    note ("kill " + router.name);
+    logEvent ("kill " + router.name);
     const auto index = static_cast<std::size_t> (&router - routers.data());
     const auto incarnation = router.incarnation;
 
-    if (index == twin)
+    if (index == duplicateRouter)
         return;
 
     time.after (time.drawTime (100ms, 20s),
@@ -84,10 +84,10 @@
                 });
 }
 
-auto KeyedWorld::onRouter (std::size_t index,
-                           std::uint64_t incarnation,
-                           Duration delay,
-                           std::function<void()> action) -> void
+auto KeyedCallSimulation::scheduleOnRouter (std::size_t index,
+                                            std::uint64_t incarnation,
+                                            Duration delay,
+                                            std::function<void()> action) -> void
 {
     time.after (delay,
                 [this, index, incarnation, action = std::move (action)]
@@ -98,18 +98,18 @@
                         return;
 
                     if (time.now() < router.pausedUntil)
-                        onRouter (index, incarnation, router.pausedUntil - time.now(), action);
+                        scheduleOnRouter (index, incarnation, router.pausedUntil - time.now(), action);
                     else
                         action();
                 });
 }
 
-auto KeyedWorld::keyValueAnswers() -> bool
+auto KeyedCallSimulation::isKeyValueServiceUp() -> bool
 {
     return time.now() >= keyValueDownUntil;
 }
 
-auto KeyedWorld::keep (std::size_t index, std::uint64_t incarnation) -> void
+auto KeyedCallSimulation::runMaintenance (std::size_t index, std::uint64_t incarnation) -> void
 {
     auto& router = routers[index];
 
@@ -120,7 +120,7 @@
 
     if (refresh (router))
     {
-        keepLease (router);
+        maintainLease (router);
 
         const auto mayClaim = router.lease != 0 && time.now() < router.leaseEnd.value_or (TimePoint()) &&
                               time.now() - router.registeredAt >= 1s;
@@ -129,13 +129,13 @@
             claim (router);
     }
 
-    onRouter (index, incarnation, time.drawTime (200ms, 2 * keepInterval),
-              [this, index, incarnation] { keep (index, incarnation); });
+    scheduleOnRouter (index, incarnation, time.drawTime (200ms, 2 * maintenanceInterval),
+                      [this, index, incarnation] { runMaintenance (index, incarnation); });
 }
 
-auto KeyedWorld::refresh (Router& router) -> bool
+auto KeyedCallSimulation::refresh (Router& router) -> bool
 {
-    if (! keyValueAnswers() || time.chance (lostAnswers))
+    if (! isKeyValueServiceUp() || time.chance (lostAnswers))
         return false;
 
     SlotView view;
@@ -149,15 +149,15 @@
     return true;
 }
 
-auto KeyedWorld::adoptSlots (Router& router) -> void
+auto KeyedCallSimulation::adoptSlots (Router& router) -> void
 {
     for (auto slot = std::uint32_t { 0 }; slot < keySlotCount; ++slot)
     {
         const auto found = router.view.slots.find (slot);
-        const auto isMine = found != router.view.slots.end() && found->second.owner == router.name &&
-                            router.lease != 0 && found->second.lease == router.lease;
+        const auto isOwn = found != router.view.slots.end() && found->second.owner == router.name &&
+                           router.lease != 0 && found->second.lease == router.lease;
 
-        if (! isMine)
+        if (! isOwn)
         {
             router.table.giveUp (slot);
             continue;
@@ -167,29 +167,29 @@
             continue;
 
         const auto epoch = found->second.epoch;
-        const auto inherited = router.inheritances.find (slot);
+        const auto inherited = router.receivedHandovers.find (slot);
 
-        if (inherited != router.inheritances.end() && inherited->second.epoch == epoch)
+        if (inherited != router.receivedHandovers.end() && inherited->second.epoch == epoch)
             router.table.inherit (slot, epoch, inherited->second.knownSince, inherited->second.entries);
-        else if (breakage == Breakage::forgetsEarlierKeys)
+        else if (bug == InjectedBug::forgetsEarlierKeys)
             router.table.inherit (slot, epoch, {}, {});
         else
             router.table.takeOver (slot, epoch, time.wallNow (router.clockOffset));
 
-        router.inheritances.erase (slot);
+        router.receivedHandovers.erase (slot);
     }
 }
 
-auto KeyedWorld::keepLease (Router& router) -> void
+auto KeyedCallSimulation::maintainLease (Router& router) -> void
 {
-    const auto begun = time.now();
+    const auto startTime = time.now();
 
-    if (router.lease != 0 && begun < router.renewAt)
+    if (router.lease != 0 && startTime < router.renewAt)
         return;
 
     if (router.lease != 0)
     {
-        const auto isRenewed = keyValues.renewLease (router.lease, begun);
+        const auto isRenewed = keyValues.renewLease (router.lease, startTime);
 
         // The answer may come late, or not at all.
         if (time.chance (lostAnswers))
@@ -197,10 +197,10 @@
 
         if (isRenewed)
         {
-            router.renewAt = begun + times.lease / 3;
-            router.leaseEnd = begun + times.lease - times.margin;
+            router.renewAt = startTime + times.lease / 3;
+            router.leaseEnd = startTime + times.lease - times.margin;
         }
-        else if (begun >= router.leaseEnd.value_or (TimePoint()))
+        else if (startTime >= router.leaseEnd.value_or (TimePoint()))
         {
             router.lease = 0;
             router.leaseEnd.reset();
@@ -210,25 +210,25 @@
         return;
     }
 
-    if (router.view.owners.contains (router.name) && breakage != Breakage::registersTwice)
+    if (router.view.owners.contains (router.name) && bug != InjectedBug::registersTwice)
         return;
 
-    const auto lease = keyValues.grantLease (times.lease, begun);
+    const auto lease = keyValues.grantLease (times.lease, startTime);
     const auto expected =
-        breakage == Breakage::registersTwice ? keyValues.read (ownerKey (router.name)).version : 0;
+        bug == InjectedBug::registersTwice ? keyValues.read (ownerKey (router.name)).version : 0;
     const auto written = keyValues.swap (ownerKey (router.name), expected, std::to_string (lease), lease);
 
     if (! written || ! written->swapped || time.chance (lostAnswers))
         return;
 
     router.lease = lease;
-    router.leaseEnd = begun + times.lease - times.margin;
-    router.renewAt = begun + times.lease / 3;
-    router.registeredAt = begun;
+    router.leaseEnd = startTime + times.lease - times.margin;
+    router.renewAt = startTime + times.lease / 3;
+    router.registeredAt = startTime;
     router.view.owners[router.name] = lease;
 }
 
-auto KeyedWorld::claim (Router& router) -> void
+auto KeyedCallSimulation::claim (Router& router) -> void
 {
     for (const auto slot : slotsToClaim (router.view, router.name))
     {
@@ -246,9 +246,9 @@
     refresh (router);
 }
 
-auto KeyedWorld::handOver (Router& router) -> void
+auto KeyedCallSimulation::handOver (Router& router) -> void
 {
-    note ("planned stop of " + router.name);
+    logEvent ("planned stop of " + router.name);
     router.leaving = true;
     auto others = router.view;
     others.owners.erase (router.name);
@@ -256,12 +256,12 @@
 
     for (const auto& [slot, held] : owned)
     {
-        const auto heirName = preferredOwner (others, slot);
-        const auto heir = std::ranges::find (routers, heirName, &Router::name);
-        const auto isReached =
-            heir != routers.end() && heir->alive && ! heir->leaving && time.now() >= heir->pausedUntil;
+        const auto successorName = preferredOwner (others, slot);
+        const auto successor = std::ranges::find (routers, successorName, &Router::name);
+        const auto isReachable = successor != routers.end() && successor->alive && ! successor->leaving &&
+                                 time.now() >= successor->pausedUntil;
 
-        if (! isReached || ! keyValueAnswers())
+        if (! isReachable || ! isKeyValueServiceUp())
         {
             router.table.setFrozen (slot, true);
             continue;
@@ -269,11 +269,13 @@
 
         router.table.setFrozen (slot, true);
         auto entries =
-            breakage == Breakage::handsOverNoKeys ? std::vector<KeyEntry> {} : router.table.entriesOf (slot);
-        heir->inheritances[slot] = { held.epoch + 1, held.knownSince, std::move (entries) };
+            bug == InjectedBug::handsOverNoKeys ? std::vector<KeyEntry> {} : router.table.entriesOf (slot);
+        successor->receivedHandovers[slot] = { held.epoch + 1, held.knownSince, std::move (entries) };
         router.table.giveUp (slot);
 
-        SlotRecord record { heirName, "127.0.0.1:1", held.epoch + 1, others.owners[heirName], 0, 0 };
+        SlotRecord record {
+            successorName, "127.0.0.1:1", held.epoch + 1, others.owners[successorName], 0, 0
+        };
         keyValues.swap (slotKey (slot), router.view.slots[slot].version, toText (record), 0);
 
         // The process may die at any step.
@@ -284,7 +286,7 @@
         }
     }
 
-    if (router.lease != 0 && keyValueAnswers())
+    if (router.lease != 0 && isKeyValueServiceUp())
         keyValues.endLease (router.lease);
 
     router.lease = 0;
@@ -292,7 +294,7 @@
     restart (router);
 }
 
-auto KeyedWorld::sendCall() -> void
+auto KeyedCallSimulation::sendCall() -> void
 {
     const auto isRepeat = ! calls.empty() && time.chance (0.5);
     auto index = calls.size();
@@ -323,20 +325,20 @@
 
     for (auto copy = 0; copy < copies; ++copy)
     {
-        const auto router = static_cast<std::size_t> (time.draw (0, twin));
-        onRouter (router, routers[router].incarnation, time.drawTime (0ms, 20ms),
-                  [this, router, index] { arrive (router, index, 0); });
+        const auto router = static_cast<std::size_t> (time.draw (0, duplicateRouter));
+        scheduleOnRouter (router, routers[router].incarnation, time.drawTime (0ms, 20ms),
+                          [this, router, index] { receiveCall (router, index, 0); });
     }
 
     time.after (time.drawTime (1ms, 200ms), [this] { sendCall(); });
 }
 
-auto KeyedWorld::arrive (std::size_t index, std::size_t call, int hops) -> void
+auto KeyedCallSimulation::receiveCall (std::size_t index, std::size_t call, int hops) -> void
 {
     auto& router = routers[index];
     auto leaseEnd = router.leaseEnd;
 
-    if (breakage == Breakage::actsPastLease && leaseEnd)
+    if (bug == InjectedBug::actsAfterLeaseExpiry && leaseEnd)
         leaseEnd = time.now() + 1h;
 
     const auto decision =
@@ -347,16 +349,16 @@
         const auto incarnation = router.incarnation;
 
         // The call is sent a moment after the decision: a pause may fall in between.
-        onRouter (index, incarnation, time.drawTime (0ms, 5ms),
-                  [this, index, call] { makeCall (index, call, 1, false); });
+        scheduleOnRouter (index, incarnation, time.drawTime (0ms, 5ms),
+                          [this, index, call] { makeCall (index, call, 1, false); });
         return;
     }
 
     if (decision.verdict == KeyVerdict::join && decision.entry->state == KeyState::finished)
     {
         ++answered;
-        ++good;
-        calls[call].toldGood = true;
+        ++successful;
+        calls[call].wasReportedSuccessful = true;
     }
 
     if (decision.verdict != KeyVerdict::notOwner || hops >= 2)
@@ -370,36 +372,39 @@
         return;
 
     const auto nextIndex = static_cast<std::size_t> (next - routers.begin());
-    onRouter (nextIndex, next->incarnation, time.drawTime (1ms, 5ms),
-              [this, nextIndex, call, hops] { arrive (nextIndex, call, hops + 1); });
+    scheduleOnRouter (nextIndex, next->incarnation, time.drawTime (1ms, 5ms),
+                      [this, nextIndex, call, hops] { receiveCall (nextIndex, call, hops + 1); });
 }
 
-auto KeyedWorld::makeCall (std::size_t index, std::size_t call, std::uint32_t attempt, bool mayHaveRun)
-    -> void
+auto KeyedCallSimulation::makeCall (std::size_t index,
+                                    std::size_t call,
+                                    std::uint32_t attempt,
+                                    bool mayHaveRun) -> void
 {
     const auto incarnation = routers[index].incarnation;
-    const auto fate = time.draw (0, 99);
+    const auto outcomeDraw = time.draw (0, 99);
     const auto delay = time.drawTime (1ms, 300ms);
     AttemptOutcome outcome { CallStage::sent, FailureCause::cut };
 
-    if (fate < 8)
+    if (outcomeDraw < 8)
         outcome = { CallStage::planned, FailureCause::connectFailed };
-    else if (fate < 14)
+    else if (outcomeDraw < 14)
         outcome = { CallStage::answering, FailureCause::refused };
     else
         ++runs[calls[call].entry.key];
 
     expect (runs[calls[call].entry.key] <= 1, "a request marked not repeatable runs at most once");
 
-    if (fate >= 24)
+    if (outcomeDraw >= 24)
     {
-        onRouter (index, incarnation, delay,
-                  [this, index, incarnation, call] { endCall (index, incarnation, call, Ran::yes, true); });
+        scheduleOnRouter (index, incarnation, delay,
+                          [this, index, incarnation, call]
+                          { endCall (index, incarnation, call, Ran::yes, true); });
         return;
     }
 
     RetryInput input;
-    input.repeatable = breakage == Breakage::repeatsWhatMayHaveRun;
+    input.repeatable = bug == InjectedBug::retriesUnsafely;
     input.mayHaveRun = mayHaveRun;
     input.attempts = attempt;
     input.deadline = time.now() + 30s;
@@ -408,47 +413,48 @@
 
     if (decision.again)
     {
-        const auto maybe = mayHaveRun || ranAfter (outcome) != Ran::no;
-        onRouter (index, incarnation, delay + decision.pause,
-                  [this, index, call, attempt, maybe] { makeCall (index, call, attempt + 1, maybe); });
+        const auto possiblyRan = mayHaveRun || ranAfter (outcome) != Ran::no;
+        scheduleOnRouter (index, incarnation, delay + decision.pause,
+                          [this, index, call, attempt, possiblyRan]
+                          { makeCall (index, call, attempt + 1, possiblyRan); });
         return;
     }
 
-    if (breakage == Breakage::tellsNotRunFalsely)
+    if (bug == InjectedBug::reportsNotRunFalsely)
         decision.ran = Ran::no;
 
-    onRouter (index, incarnation, delay,
-              [this, index, incarnation, call, ran = decision.ran]
-              { endCall (index, incarnation, call, ran, false); });
+    scheduleOnRouter (index, incarnation, delay,
+                      [this, index, incarnation, call, ran = decision.ran]
+                      { endCall (index, incarnation, call, ran, false); });
 }
 
-auto KeyedWorld::endCall (std::size_t index, std::uint64_t, std::size_t call, Ran ran, bool isAnswered)
-    -> void
+auto KeyedCallSimulation::endCall (
+    std::size_t index, std::uint64_t, std::size_t call, Ran ran, bool isAnswered) -> void
 {
     const auto& entry = calls[call].entry;
     ++answered;
-    good += isAnswered ? 1 : 0;
-    calls[call].toldGood = calls[call].toldGood || isAnswered;
+    successful += isAnswered ? 1 : 0;
+    calls[call].wasReportedSuccessful = calls[call].wasReportedSuccessful || isAnswered;
     expect (ran != Ran::no || runs[entry.key] == 0, "\"not run\" is true");
 
-    if (breakage == Breakage::forgetsUncertainKeys && ! isAnswered)
+    if (bug == InjectedBug::forgetsUncertainKeys && ! isAnswered)
         ran = Ran::no;
 
     routers[index].table.noteEnd (entry.account, entry.key, ran, isAnswered);
 }
 
-auto KeyedWorld::faults() -> void
+auto KeyedCallSimulation::injectFault() -> void
 {
-    auto& router = routers[static_cast<std::size_t> (time.draw (0, twin))];
+    auto& router = routers[static_cast<std::size_t> (time.draw (0, duplicateRouter))];
 
     switch (time.draw (0, 7))
     {
         case 4:
-            if (routers[twin].alive)
+            if (routers[duplicateRouter].alive)
                 break;
             routers[0].pausedUntil = time.now() + time.drawTime (1s, 25s);
-            note ("pause r0 and start another r0");
-            start (routers[twin]);
+            logEvent ("pause r0 and start another r0");
+            start (routers[duplicateRouter]);
             break;
         case 0:
             if (router.alive && time.now() >= router.pausedUntil)
@@ -456,15 +462,15 @@
             break;
         case 1:
             router.pausedUntil = time.now() + time.drawTime (1s, 25s);
-            note ("pause " + router.name);
+            logEvent ("pause " + router.name);
             break;
         case 2:
             keyValueDownUntil = time.now() + time.drawTime (1s, 40s);
-            note ("key-value service down");
+            logEvent ("key-value service down");
             break;
         case 3:
             lostAnswers = time.chance (0.5) ? 0.5 : 0.0;
-            note ("lost answers " + std::to_string (lostAnswers));
+            logEvent ("lost answers " + std::to_string (lostAnswers));
             break;
         default:
             if (router.alive && ! router.leaving && time.now() >= router.pausedUntil)
@@ -474,10 +480,10 @@
 
     // Often together: the next one may follow at once.
     time.after (time.chance (0.4) ? time.drawTime (0ms, 500ms) : time.drawTime (1s, 15s),
-                [this] { faults(); });
+                [this] { injectFault(); });
 }
 
-auto KeyedWorld::note (std::string line) -> void
+auto KeyedCallSimulation::logEvent (std::string line) -> void
 {
     lines.push_back (
         std::to_string (
--- a/tests/random/KeyedWorld.h
+++ b/tests/random/KeyedCallSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Breakage.h"
+#include "InjectedBug.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_fakes/platform/KeyValueModel.h"
@@ -17,16 +17,16 @@
     kills, pauses, planned stops, outages, lost answers, all together and twice. The decisions are the program's own:
     KeyTable, SlotView, RetryDecision, over the stand-in's key-value model.
 */
-class KeyedWorld
+class KeyedCallSimulation
 {
 public:
-    KeyedWorld (std::uint64_t seed, Breakage testedBreakage, std::size_t mostEvents);
+    KeyedCallSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents);
 
     /** Runs, and throws a Breach when a promise is broken. */
     auto run() -> void;
 
     [[nodiscard]] auto callCount() const -> std::size_t { return answered; }
-    [[nodiscard]] auto goodCount() const -> std::size_t { return good; }
+    [[nodiscard]] auto successfulCount() const -> std::size_t { return successful; }
     [[nodiscard]] auto trace() const -> const std::vector<std::string>& { return lines; }
 
 private:
@@ -45,46 +45,48 @@
         std::optional<TimePoint> leaseEnd;
         TimePoint renewAt {};
         TimePoint registeredAt {};
-        struct Inherited
+        struct ReceivedHandover
         {
             std::uint64_t epoch = 0;
             WallTime knownSince {};
             std::vector<KeyEntry> entries;
         };
-        std::map<std::uint32_t, Inherited> inheritances;
+        std::map<std::uint32_t, ReceivedHandover> receivedHandovers;
     };
 
     struct Call
     {
         KeyEntry entry;
-        bool toldGood = false;
-        bool toldNotRun = false;
+        bool wasReportedSuccessful = false;
+        bool wasReportedNotRun = false;
     };
 
     auto start (Router& router) -> void;
     auto restart (Router& router) -> void;
-    auto keep (std::size_t index, std::uint64_t incarnation) -> void;
+    auto runMaintenance (std::size_t index, std::uint64_t incarnation) -> void;
     auto refresh (Router& router) -> bool;
     auto adoptSlots (Router& router) -> void;
-    auto keepLease (Router& router) -> void;
+    auto maintainLease (Router& router) -> void;
     auto claim (Router& router) -> void;
     auto handOver (Router& router) -> void;
 
     auto sendCall() -> void;
-    auto arrive (std::size_t index, std::size_t call, int hops) -> void;
+    auto receiveCall (std::size_t index, std::size_t call, int hops) -> void;
     auto makeCall (std::size_t index, std::size_t call, std::uint32_t attempt, bool mayHaveRun) -> void;
     auto endCall (std::size_t index, std::uint64_t incarnation, std::size_t call, Ran ran, bool isAnswered)
         -> void;
-    auto faults() -> void;
+    auto injectFault() -> void;
 
     /** Does something on a router's thread: later if it is paused, never if that run of it has ended. */
-    auto onRouter (std::size_t index, std::uint64_t incarnation, Duration delay, std::function<void()> action)
-        -> void;
-    auto note (std::string line) -> void;
-    [[nodiscard]] auto keyValueAnswers() -> bool;
+    auto scheduleOnRouter (std::size_t index,
+                           std::uint64_t incarnation,
+                           Duration delay,
+                           std::function<void()> action) -> void;
+    auto logEvent (std::string line) -> void;
+    [[nodiscard]] auto isKeyValueServiceUp() -> bool;
 
     VirtualTime time;
-    Breakage breakage;
+    InjectedBug bug;
     SlotTimes times;
     KeyValueModel keyValues;
     TimePoint keyValueDownUntil {};
@@ -93,7 +95,7 @@
     std::vector<Call> calls;
     std::map<Uuid, std::uint32_t> runs;
     std::size_t answered = 0;
-    std::size_t good = 0;
+    std::size_t successful = 0;
     std::vector<std::string> lines;
 };
 
--- a/tests/random/RandomRuns.cpp
+++ b/tests/random/RandomRuns.cpp
@@ -1,8 +1,8 @@
 #include "RandomRuns.h"
 
-#include "KeyedWorld.h"
-#include "SettingsWorld.h"
-#include "StreamWorld.h"
+#include "KeyedCallSimulation.h"
+#include "SettingsEditSimulation.h"
+#include "StreamSimulation.h"
 
 #include <limits>
 
@@ -12,94 +12,94 @@
 namespace
 {
 
-constexpr auto allEvents = std::numeric_limits<std::size_t>::max();
+constexpr auto unlimitedEvents = std::numeric_limits<std::size_t>::max();
 
 /** @returns the promise that a world breaks within some events, or an empty text. */
-template <typename World>
-auto breachWithin (std::uint64_t seed, Breakage breakage, std::size_t events, std::vector<std::string>& trace)
+template <typename Simulation>
+auto runLimited (std::uint64_t seed, InjectedBug bug, std::size_t events, std::vector<std::string>& trace)
     -> std::string
 {
-    World world (seed, breakage, events);
+    Simulation simulation (seed, bug, events);
 
     try
     {
-        world.run();
+        simulation.run();
     }
-    catch (const Breach& breach)
+    catch (const Violation& violation)
     {
-        trace = world.trace();
-        return breach.what();
+        trace = simulation.trace();
+        return violation.what();
     }
 
     return {};
 }
 
 /** Halves the run's length for as long as the breach stays. */
-template <typename World>
-auto shorten (FoundBreach breach, Breakage breakage) -> FoundBreach
+template <typename Simulation>
+auto minimizeEvents (FoundViolation violation, InjectedBug bug) -> FoundViolation
 {
-    auto least = std::size_t { 0 };
-    auto most = std::size_t { 1 } << 20;
+    auto passing = std::size_t { 0 };
+    auto failing = std::size_t { 1 } << 20;
 
-    while (least + 1 < most)
+    while (passing + 1 < failing)
     {
-        const auto middle = least + (most - least) / 2;
+        const auto middle = passing + (failing - passing) / 2;
         std::vector<std::string> trace;
-        const auto promise = breachWithin<World> (breach.seed, breakage, middle, trace);
+        const auto guarantee = runLimited<Simulation> (violation.seed, bug, middle, trace);
 
-        if (promise.empty())
+        if (guarantee.empty())
         {
-            least = middle;
+            passing = middle;
             continue;
         }
 
-        most = middle;
-        breach.promise = promise;
-        breach.trace = std::move (trace);
+        failing = middle;
+        violation.guarantee = guarantee;
+        violation.trace = std::move (trace);
     }
 
-    breach.events = most;
-    return breach;
+    violation.events = failing;
+    return violation;
 }
 
-template <typename World>
-auto runWorld (std::uint64_t seed, Breakage breakage, const char* name, World& world)
-    -> std::optional<FoundBreach>
+template <typename Simulation>
+auto runSimulation (std::uint64_t seed, InjectedBug bug, const char* name, Simulation& simulation)
+    -> std::optional<FoundViolation>
 {
     try
     {
-        world.run();
+        simulation.run();
         return {};
     }
-    catch (const Breach& breach)
+    catch (const Violation& violation)
     {
-        return shorten<World> ({ seed, name, breach.what(), 0, world.trace() }, breakage);
+        return minimizeEvents<Simulation> ({ seed, name, violation.what(), 0, simulation.trace() }, bug);
     }
 }
 
 } // namespace
 
-auto runSeed (std::uint64_t seed, Breakage breakage, RandomCounts& counts) -> std::optional<FoundBreach>
+auto runSeed (std::uint64_t seed, InjectedBug bug, RandomCounts& counts) -> std::optional<FoundViolation>
 {
     ++counts.seeds;
-    KeyedWorld keyed (seed, breakage, allEvents);
+    KeyedCallSimulation keyed (seed, bug, unlimitedEvents);
 
-    if (auto breach = runWorld (seed, breakage, "keyed calls", keyed))
-        return breach;
+    if (auto violation = runSimulation (seed, bug, "keyed calls", keyed))
+        return violation;
 
     counts.calls += keyed.callCount();
-    counts.goodCalls += keyed.goodCount();
-    StreamWorld streams (seed, breakage, allEvents);
+    counts.successfulCalls += keyed.successfulCount();
+    StreamSimulation streams (seed, bug, unlimitedEvents);
 
-    if (auto breach = runWorld (seed, breakage, "streams", streams))
-        return breach;
+    if (auto violation = runSimulation (seed, bug, "streams", streams))
+        return violation;
 
     counts.streams += streams.requestCount();
-    counts.wholeStreams += streams.wholeCount();
-    SettingsWorld settings (seed, breakage, allEvents);
+    counts.completedStreams += streams.completedCount();
+    SettingsEditSimulation settings (seed, bug, unlimitedEvents);
 
-    if (auto breach = runWorld (seed, breakage, "edits of the settings", settings))
-        return breach;
+    if (auto violation = runSimulation (seed, bug, "edits of the settings", settings))
+        return violation;
 
     counts.edits += settings.editCount();
     counts.storedEdits += settings.storedCount();
--- a/tests/random/RandomRuns.h
+++ b/tests/random/RandomRuns.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Breakage.h"
+#include "InjectedBug.h"
 
 #include <cstdint>
 #include <optional>
@@ -11,11 +11,11 @@
 {
 
 /** The first breach of one seed. */
-struct FoundBreach
+struct FoundViolation
 {
     std::uint64_t seed = 0;
-    std::string world;
-    std::string promise;
+    std::string simulation;
+    std::string guarantee;
     /** The least number of events with which it still happens. */
     std::size_t events = 0;
     /** What happened until then. */
@@ -27,9 +27,9 @@
 {
     std::uint64_t seeds = 0;
     std::uint64_t calls = 0;
-    std::uint64_t goodCalls = 0;
+    std::uint64_t successfulCalls = 0;
     std::uint64_t streams = 0;
-    std::uint64_t wholeStreams = 0;
+    std::uint64_t completedStreams = 0;
     std::uint64_t edits = 0;
     std::uint64_t storedEdits = 0;
 };
@@ -38,6 +38,6 @@
 
     @returns the breach, shortened as far as it could be, or nothing
 */
-auto runSeed (std::uint64_t seed, Breakage breakage, RandomCounts& counts) -> std::optional<FoundBreach>;
+auto runSeed (std::uint64_t seed, InjectedBug bug, RandomCounts& counts) -> std::optional<FoundViolation>;
 
 } // namespace snowrudder
--- a/tests/random/RandomSeeds.cpp
+++ b/tests/random/RandomSeeds.cpp
@@ -22,7 +22,7 @@
                            { { "first", "N", "first seed (1)" }, { "count", "N", "how many (1000)" } } });
     const auto first = std::strtoull (line.option ("first", "1").c_str(), nullptr, 10);
     const auto count = std::strtoull (line.option ("count", "1000").c_str(), nullptr, 10);
-    throwBreaches();
+    throwOnViolation();
 
     std::atomic<std::uint64_t> next { first };
     std::atomic<std::uint64_t> found { 0 };
@@ -36,27 +36,27 @@
 
         for (auto seed = next++; seed < first + count; seed = next++)
         {
-            const auto breach = runSeed (seed, Breakage::none, counts);
+            const auto violation = runSeed (seed, InjectedBug::none, counts);
 
-            if (! breach)
+            if (! violation)
                 continue;
 
             ++found;
             const std::lock_guard lock (mutex);
             std::printf ("seed %llu breaks \"%s\" among %s within %zu events\n",
-                         static_cast<unsigned long long> (breach->seed), breach->promise.c_str(),
-                         breach->world.c_str(), breach->events);
+                         static_cast<unsigned long long> (violation->seed), violation->guarantee.c_str(),
+                         violation->simulation.c_str(), violation->events);
 
-            for (const auto& entry : breach->trace)
+            for (const auto& entry : violation->trace)
                 std::printf ("  %s\n", entry.c_str());
         }
 
         const std::lock_guard lock (mutex);
         total.seeds += counts.seeds;
         total.calls += counts.calls;
-        total.goodCalls += counts.goodCalls;
+        total.successfulCalls += counts.successfulCalls;
         total.streams += counts.streams;
-        total.wholeStreams += counts.wholeStreams;
+        total.completedStreams += counts.completedStreams;
         total.edits += counts.edits;
         total.storedEdits += counts.storedEdits;
     };
@@ -71,8 +71,10 @@
         "%llu seeds, %llu breaches; %llu keyed calls answered, %llu with their answer; %llu streams, %llu "
         "whole; %llu edits, %llu stored\n",
         static_cast<unsigned long long> (total.seeds), static_cast<unsigned long long> (found.load()),
-        static_cast<unsigned long long> (total.calls), static_cast<unsigned long long> (total.goodCalls),
-        static_cast<unsigned long long> (total.streams), static_cast<unsigned long long> (total.wholeStreams),
+        static_cast<unsigned long long> (total.calls),
+        static_cast<unsigned long long> (total.successfulCalls),
+        static_cast<unsigned long long> (total.streams),
+        static_cast<unsigned long long> (total.completedStreams),
         static_cast<unsigned long long> (total.edits), static_cast<unsigned long long> (total.storedEdits));
     return static_cast<int> (found == 0 ? ExitCode::success : ExitCode::failed);
 }
--- a/tests/random/RandomTests.cpp
+++ b/tests/random/RandomTests.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-constexpr auto fixedSeeds = std::uint64_t { 60 };
-constexpr auto seedsToFindABreakage = std::uint64_t { 60 };
+constexpr auto fixedSeedCount = std::uint64_t { 60 };
+constexpr auto maxSeedsPerBug = std::uint64_t { 60 };
 
-auto describe (const FoundBreach& breach) -> std::string
+auto describe (const FoundViolation& violation) -> std::string
 {
-    auto text = "seed " + std::to_string (breach.seed) + " breaks \"" + breach.promise + "\" among " +
-                breach.world + " within " + std::to_string (breach.events) + " events:\n";
+    auto text = "seed " + std::to_string (violation.seed) + " breaks \"" + violation.guarantee + "\" among " +
+                violation.simulation + " within " + std::to_string (violation.events) + " events:\n";
 
-    for (const auto& line : breach.trace)
+    for (const auto& line : violation.trace)
         text += "  " + line + "\n";
 
     return text;
@@ -26,35 +26,35 @@
 
 TEST_CASE ("no fixed seed breaks a promise")
 {
-    throwBreaches();
+    throwOnViolation();
     RandomCounts counts;
 
-    for (auto seed = std::uint64_t { 1 }; seed <= fixedSeeds; ++seed)
-        if (const auto breach = runSeed (seed, Breakage::none, counts))
-            FAIL (describe (*breach));
+    for (auto seed = std::uint64_t { 1 }; seed <= fixedSeedCount; ++seed)
+        if (const auto violation = runSeed (seed, InjectedBug::none, counts))
+            FAIL (describe (*violation));
 
     // A run in which little happens would prove little.
-    CHECK (counts.calls > 60 * fixedSeeds);
-    CHECK (counts.goodCalls * 2 > counts.calls);
-    CHECK (counts.edits >= 20 * fixedSeeds);
+    CHECK (counts.calls > 60 * fixedSeedCount);
+    CHECK (counts.successfulCalls * 2 > counts.calls);
+    CHECK (counts.edits >= 20 * fixedSeedCount);
     CHECK (counts.storedEdits * 4 > counts.edits);
-    CHECK (counts.wholeStreams * 10 > counts.streams * 7);
+    CHECK (counts.completedStreams * 10 > counts.streams * 7);
 }
 
 TEST_CASE ("each promise broken on purpose is found")
 {
-    throwBreaches();
+    throwOnViolation();
 
-    for (auto value = 1; value <= static_cast<int> (lastBreakage); ++value)
+    for (auto value = 1; value <= static_cast<int> (lastInjectedBug); ++value)
     {
-        const auto breakage = static_cast<Breakage> (value);
+        const auto bug = static_cast<InjectedBug> (value);
         RandomCounts counts;
         auto isFound = false;
 
-        for (auto seed = std::uint64_t { 1 }; seed <= seedsToFindABreakage && ! isFound; ++seed)
-            isFound = runSeed (seed, breakage, counts).has_value();
+        for (auto seed = std::uint64_t { 1 }; seed <= maxSeedsPerBug && ! isFound; ++seed)
+            isFound = runSeed (seed, bug, counts).has_value();
 
-        INFO (toString (breakage));
+        INFO (toString (bug));
         CHECK (isFound);
     }
 }
--- a/tests/random/SettingsWorld.h
+++ b/tests/random/SettingsEditSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Breakage.h"
+#include "InjectedBug.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_admin/snowrudder_admin.h"
@@ -18,15 +18,15 @@
     take effect late. The procedure is the program's own. It checks what each operator was told against every tree that was
     ever the head.
 */
-class SettingsWorld
+class SettingsEditSimulation
 {
 public:
-    SettingsWorld (std::uint64_t seed, Breakage breakageOnPurpose, std::size_t mostEvents);
+    SettingsEditSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents);
 
     auto run() -> void;
 
     [[nodiscard]] auto trace() const -> const std::vector<std::string>& { return log; }
-    [[nodiscard]] auto editCount() const -> std::size_t { return told.size(); }
+    [[nodiscard]] auto editCount() const -> std::size_t { return reportedResults.size(); }
     [[nodiscard]] auto storedCount() const -> std::size_t;
 
 private:
@@ -36,31 +36,31 @@
         std::size_t edits = 0;
         std::string editId;
         std::uint64_t knownRevision = 0;
-        std::size_t asked = 0;
+        std::size_t attempts = 0;
         std::optional<EditProcedure> procedure;
     };
 
-    auto startEdit (Operator& person) -> void;
-    auto ask (Operator& person) -> void;
-    auto step (Operator& person) -> void;
+    auto startEdit (Operator& editor) -> void;
+    auto submitEdit (Operator& editor) -> void;
+    auto step (Operator& editor) -> void;
     auto makeCall (const StoreCall& call) -> StoreAnswer;
     auto read (const std::string& key) -> StoreAnswer;
     auto write (const StoreCall& call) -> StoreAnswer;
     auto apply (const StoreCall& call) -> std::optional<std::uint64_t>;
-    auto noteHead (const std::string& text, std::uint64_t revision) -> void;
-    auto finish (Operator& person, const EditResult& result) -> void;
-    auto checkTold() const -> void;
+    auto recordHead (const std::string& text, std::uint64_t revision) -> void;
+    auto finish (Operator& editor, const EditResult& result) -> void;
+    auto checkReportedResults() const -> void;
 
     VirtualTime time;
-    Breakage breakage;
+    InjectedBug bug;
     KeyValueModel store;
-    bool down = false;
+    bool isDown = false;
     std::vector<Operator> operators;
     /** Edits in the order in which they were the head, with their revisions. */
     std::vector<std::pair<std::string, std::uint64_t>> heads;
     /** What operators were told last of each edit. */
-    std::map<std::string, EditResult::Kind> told;
-    std::map<std::string, std::uint64_t> toldRevision;
+    std::map<std::string, EditResult::Kind> reportedResults;
+    std::map<std::string, std::uint64_t> reportedRevisions;
     std::vector<std::string> log;
 };
 
--- a/tests/random/StreamWorld.cpp
+++ b/tests/random/StreamSimulation.cpp
@@ -1,4 +1,4 @@
-#include "StreamWorld.h"
+#include "StreamSimulation.h"
 
 #include "snowrudder_fakes/engine/AnswerText.h"
 #include "snowrudder_net/stream/EventReader.h"
@@ -14,14 +14,14 @@
 constexpr auto service = "models";
 constexpr auto stepTime = 15ms;
 constexpr auto runLength = std::chrono::seconds (60);
-constexpr auto firstEngines = 5;
-constexpr auto fewestEngines = 3;
+constexpr auto initialEngines = 5;
+constexpr auto minEngines = 3;
 /** "Nothing new after a few seconds": the list lags by up to this, and is read that often. */
-constexpr auto longestLag = 1500ms;
-constexpr auto promisedTime = 2s;
-constexpr auto stallTime = 3s;
+constexpr auto maxListLag = 1500ms;
+constexpr auto allowedTime = 2s;
+constexpr auto stallTimeout = 3s;
 
-auto smallEngine() -> EngineLimits
+auto smallEngineLimits() -> EngineLimits
 {
     EngineLimits limits;
     limits.slots = 6;
@@ -32,21 +32,21 @@
 
 } // namespace
 
-StreamWorld::StreamWorld (std::uint64_t seed, Breakage testedBreakage, std::size_t mostEvents)
-    : time (seed, mostEvents), breakage (testedBreakage)
+StreamSimulation::StreamSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents)
+    : time (seed, maxEvents), bug (injectedBug)
 {
     engines.reserve (4096);
 
-    for (auto count = 0; count < firstEngines; ++count)
+    for (auto count = 0; count < initialEngines; ++count)
         addEngine();
 
     listEngines (false);
     time.after (100ms, [this] { sendRequest(); });
-    time.after (2s, [this] { faults(); });
-    time.after (50ms, [this] { sweep(); });
+    time.after (2s, [this] { injectFault(); });
+    time.after (50ms, [this] { checkOpenRequests(); });
 }
 
-auto StreamWorld::run() -> void
+auto StreamSimulation::run() -> void
 {
     time.run (runLength);
 
@@ -55,15 +55,15 @@
         if (request.record->state() != RecordState::finished)
             continue;
 
-        ++whole;
-        expect (readAll (request) == expectedAnswer (request.seed, request.length),
+        ++completed;
+        expect (readInParts (request) == expectedAnswer (request.seed, request.length),
                 "each caller gets the whole answer to its own request");
         expect (request.record->usage().completionTokens == request.length,
                 "the caller's count is the answer's");
     }
 }
 
-auto StreamWorld::readAll (const Request& request) const -> std::string
+auto StreamSimulation::readInParts (const Request& request) const -> std::string
 {
     // As a caller does that breaks off and resumes, again and again.
     std::string text;
@@ -89,7 +89,7 @@
     return text;
 }
 
-auto StreamWorld::addEngine() -> void
+auto StreamSimulation::addEngine() -> void
 {
     const auto number = engines.size();
     Engine engine;
@@ -98,13 +98,13 @@
     engine.info.failureDomain = "d" + std::to_string (number % 3);
     engine.info.service = service;
     engine.info.endpoint = "127.0.0.1:" + std::to_string (number + 1);
-    engine.info.slots = smallEngine().slots;
-    engine.model = std::make_unique<EngineModel> (smallEngine());
+    engine.info.slots = smallEngineLimits().slots;
+    engine.model = std::make_unique<EngineModel> (smallEngineLimits());
     engines.push_back (std::move (engine));
     time.after (stepTime, [this, number] { stepEngine (number); });
 }
 
-auto StreamWorld::listEngines (bool isLate) -> void
+auto StreamSimulation::listEngines (bool isLate) -> void
 {
     std::vector<ListedReplica> listed;
 
@@ -117,13 +117,13 @@
         listed.push_back ({ engine.info, engine.isReclaimed && ! isLate });
     }
 
-    if (breakage == Breakage::believesLateLists && isLate)
+    if (bug == InjectedBug::acceptsOutdatedLists && isLate)
         replicas.update ({}, time.now());
 
     replicas.update (listed, time.now());
 }
 
-auto StreamWorld::stepEngine (std::size_t index) -> void
+auto StreamSimulation::stepEngine (std::size_t index) -> void
 {
     auto& engine = engines[index];
 
@@ -134,25 +134,25 @@
     {
         for (const auto& step : engine.model->step())
         {
-            const auto owner = owners.find ({ index, step.id });
+            const auto owner = requestIndices.find ({ index, step.id });
 
-            if (owner == owners.end())
+            if (owner == requestIndices.end())
                 continue;
 
             // A piece may come late, even after its attempt was given up. Those of one attempt come in order over one
             // connection: a late one holds the others back.
-            auto& arrival = arrivals[owner->first];
+            auto& arrival = lastArrivals[owner->first];
             arrival = std::max (
                 arrival, time.now() + (time.chance (0.02) ? time.drawTime (0ms, 4s) : Duration::zero()));
             time.after (arrival - time.now(),
-                        [this, request = owner->second, step] { take (request, step.id, step); });
+                        [this, request = owner->second, step] { receiveChunk (request, step.id, step); });
         }
     }
 
     time.after (stepTime, [this, index] { stepEngine (index); });
 }
 
-auto StreamWorld::sendRequest() -> void
+auto StreamSimulation::sendRequest() -> void
 {
     const auto index = requests.size();
     Request request;
@@ -178,7 +178,7 @@
     time.after (time.drawTime (10ms, 400ms), [this] { sendRequest(); });
 }
 
-auto StreamWorld::attempt (std::size_t index) -> void
+auto StreamSimulation::attempt (std::size_t index) -> void
 {
     auto& request = requests[index];
     ++request.attempt;
@@ -201,7 +201,7 @@
     const auto found = std::ranges::find (engines, taken->ticket.info.name,
                                           [] (const Engine& engine) { return engine.info.name; });
     auto& engine = *found;
-    expect (! engine.closedFrom || time.now() < *engine.closedFrom,
+    expect (! engine.noRequestsFrom || time.now() < *engine.noRequestsFrom,
             "a leaving upstream gets nothing new after a few seconds");
 
     if (! engine.alive)
@@ -213,25 +213,26 @@
     EngineRequest call;
     call.id = nextEngineId++;
     call.seed = request.seed;
-    call.firstPosition = breakage == Breakage::streamsFromTheStart ? 0 : request.tokens;
+    call.firstPosition = bug == InjectedBug::restartsStreams ? 0 : request.tokens;
     call.lastPosition = request.length;
     call.promptTokens = request.promptTokens;
 
     request.engine = static_cast<std::size_t> (found - engines.begin());
     request.engineId = call.id;
     request.lastProgress = time.now();
-    owners[{ request.engine, call.id }] = index;
+    requestIndices[{ request.engine, call.id }] = index;
 
     if (! engine.model->submit (std::move (call)))
         fail (index, { CallStage::answering, FailureCause::refused });
 }
 
-auto StreamWorld::take (std::size_t index, std::uint64_t engineId, const EngineStep& step) -> void
+auto StreamSimulation::receiveChunk (std::size_t index, std::uint64_t engineId, const EngineStep& step)
+    -> void
 {
     auto& request = requests[index];
     const auto isLate = ! request.ticket || request.engineId != engineId;
 
-    if (request.record->state() != RecordState::open || (isLate && breakage != Breakage::takesLatePieces))
+    if (request.record->state() != RecordState::open || (isLate && bug != InjectedBug::acceptsLateChunks))
         return;
 
     request.lastProgress = time.now();
@@ -254,7 +255,7 @@
     request.ticket.reset();
 }
 
-auto StreamWorld::fail (std::size_t index, AttemptOutcome outcome) -> void
+auto StreamSimulation::fail (std::size_t index, AttemptOutcome outcome) -> void
 {
     auto& request = requests[index];
 
@@ -273,7 +274,8 @@
     RetryInput input;
     input.repeatable = true;
     input.answerBegun = request.tokens > 0;
-    input.attempts = outcome.cause == FailureCause::moved ? request.counted : ++request.counted;
+    input.attempts =
+        outcome.cause == FailureCause::moved ? request.countedAttempts : ++request.countedAttempts;
     input.deadline = request.record->identity().deadline;
     input.jitter = static_cast<double> (time.draw (0, 100)) / 100.0;
     const auto decision = decideAfterFailure (outcome, input, time.now());
@@ -284,7 +286,7 @@
         request.record->fail (makeProblem (decision.kind, decision.ran, ""));
 }
 
-auto StreamWorld::sweep() -> void
+auto StreamSimulation::checkOpenRequests() -> void
 {
     for (auto index = std::size_t { 0 }; index < requests.size(); ++index)
     {
@@ -297,17 +299,17 @@
             fail (index, { CallStage::answering, FailureCause::cut });
         else if (replicas.isLeaving (request.ticket->number))
             fail (index, { CallStage::answering, FailureCause::moved });
-        else if (time.now() - request.lastProgress >= stallTime)
+        else if (time.now() - request.lastProgress >= stallTimeout)
             fail (index, { CallStage::answering, FailureCause::timedOut });
     }
 
     if (time.chance (0.1))
         listEngines (time.chance (0.3));
 
-    time.after (50ms, [this] { sweep(); });
+    time.after (50ms, [this] { checkOpenRequests(); });
 }
 
-auto StreamWorld::faults() -> void
+auto StreamSimulation::injectFault() -> void
 {
     auto alive = std::vector<std::size_t> {};
 
@@ -315,54 +317,54 @@
         if (engines[index].alive && ! engines[index].isReclaimed)
             alive.push_back (index);
 
-    const auto pick =
+    const auto picked =
         alive[static_cast<std::size_t> (time.draw (0, static_cast<std::int64_t> (alive.size()) - 1))];
-    auto& engine = engines[pick];
-    const auto mayLose = alive.size() > fewestEngines;
+    auto& engine = engines[picked];
+    const auto mayRemove = alive.size() > minEngines;
 
     switch (time.draw (0, 4))
     {
         case 0:
             engine.stalledUntil = time.now() + time.drawTime (100ms, 6s);
-            note ("stall " + engine.info.name);
+            logEvent ("stall " + engine.info.name);
             break;
 
         case 1:
-            if (mayLose)
+            if (mayRemove)
             {
                 engine.alive = false;
-                note ("kill " + engine.info.name);
+                logEvent ("kill " + engine.info.name);
             }
             break;
 
         case 2:
-            if (mayLose)
+            if (mayRemove)
             {
                 // The sign reaches the table late; the promise counts from there.
                 engine.isReclaimed = true;
-                note ("reclaim " + engine.info.name);
-                time.after (time.drawTime (0ms, longestLag),
-                            [this, pick]
+                logEvent ("reclaim " + engine.info.name);
+                time.after (time.drawTime (0ms, maxListLag),
+                            [this, picked]
                             {
                                 listEngines (false);
-                                engines[pick].closedFrom = time.now();
+                                engines[picked].noRequestsFrom = time.now();
                             });
-                time.after (time.drawTime (longestLag + promisedTime, 8s),
-                            [this, pick] { engines[pick].alive = false; });
+                time.after (time.drawTime (maxListLag + allowedTime, 8s),
+                            [this, picked] { engines[picked].alive = false; });
             }
             break;
 
         default:
-            if (alive.size() < firstEngines + 2)
+            if (alive.size() < initialEngines + 2)
                 addEngine();
             break;
     }
 
     time.after (time.chance (0.3) ? time.drawTime (0ms, 100ms) : time.drawTime (200ms, 4s),
-                [this] { faults(); });
+                [this] { injectFault(); });
 }
 
-auto StreamWorld::note (std::string line) -> void
+auto StreamSimulation::logEvent (std::string line) -> void
 {
     lines.push_back (
         std::to_string (
--- a/tests/random/StreamWorld.h
+++ b/tests/random/StreamSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Breakage.h"
+#include "InjectedBug.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_fakes/engine/EngineModel.h"
@@ -19,15 +19,15 @@
     caller must get the whole answer to its own request, each event once, and a leaving replica nothing new. The
     decisions are the program's own: ReplicaTable, RetryDecision, RequestRecord, over the stand-in's engine model.
 */
-class StreamWorld
+class StreamSimulation
 {
 public:
-    StreamWorld (std::uint64_t seed, Breakage testedBreakage, std::size_t mostEvents);
+    StreamSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents);
 
     /** Runs, and throws a Breach when a promise is broken. */
     auto run() -> void;
 
-    [[nodiscard]] auto wholeCount() const -> std::size_t { return whole; }
+    [[nodiscard]] auto completedCount() const -> std::size_t { return completed; }
     [[nodiscard]] auto requestCount() const -> std::size_t { return requests.size(); }
     [[nodiscard]] auto trace() const -> const std::vector<std::string>& { return lines; }
 
@@ -40,7 +40,7 @@
         bool isReclaimed = false;
         TimePoint stalledUntil {};
         /** From here on nothing new may come: the routers have had the time that is promised. */
-        std::optional<TimePoint> closedFrom;
+        std::optional<TimePoint> noRequestsFrom;
     };
 
     struct Request
@@ -51,7 +51,7 @@
         std::vector<std::uint64_t> promptTokens;
         std::vector<std::uint64_t> blocks;
         std::uint32_t attempt = 0;
-        std::uint32_t counted = 0;
+        std::uint32_t countedAttempts = 0;
         std::uint32_t tokens = 0;
         std::optional<ReplicaTicket> ticket;
         std::size_t engine = 0;
@@ -65,22 +65,22 @@
     auto stepEngine (std::size_t index) -> void;
     auto sendRequest() -> void;
     auto attempt (std::size_t index) -> void;
-    auto take (std::size_t index, std::uint64_t engineId, const EngineStep& step) -> void;
+    auto receiveChunk (std::size_t index, std::uint64_t engineId, const EngineStep& step) -> void;
     auto fail (std::size_t index, AttemptOutcome outcome) -> void;
-    auto sweep() -> void;
-    auto faults() -> void;
-    auto readAll (const Request& request) const -> std::string;
-    auto note (std::string line) -> void;
+    auto checkOpenRequests() -> void;
+    auto injectFault() -> void;
+    auto readInParts (const Request& request) const -> std::string;
+    auto logEvent (std::string line) -> void;
 
     VirtualTime time;
-    Breakage breakage;
+    InjectedBug bug;
     ReplicaTable replicas;
     std::vector<Engine> engines;
     std::vector<Request> requests;
-    std::map<std::pair<std::size_t, std::uint64_t>, std::size_t> owners;
-    std::map<std::pair<std::size_t, std::uint64_t>, TimePoint> arrivals;
+    std::map<std::pair<std::size_t, std::uint64_t>, std::size_t> requestIndices;
+    std::map<std::pair<std::size_t, std::uint64_t>, TimePoint> lastArrivals;
     std::uint64_t nextEngineId = 1;
-    std::size_t whole = 0;
+    std::size_t completed = 0;
     std::vector<std::string> lines;
 };
 
--- a/tests/random/VirtualTime.h
+++ b/tests/random/VirtualTime.h
@@ -12,29 +12,29 @@
 {
 
 /** A breach found by a randomised run. */
-struct Breach : std::runtime_error
+struct Violation : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
 /** Makes the program's own invariants end a run with a Breach in place of the process. */
-inline auto throwBreaches() -> void
+inline auto throwOnViolation() -> void
 {
-    setInvariantHandler ([] (std::string_view name) { throw Breach (std::string (name)); });
+    setInvariantHandler ([] (std::string_view name) { throw Violation (std::string (name)); });
 }
 
 /** Throws when something that must hold does not. */
-inline auto expect (bool holds, const std::string& what) -> void
+inline auto expect (bool condition, const std::string& message) -> void
 {
-    if (! holds)
-        throw Breach (what);
+    if (! condition)
+        throw Violation (message);
 }
 
 /** Virtual time with events in order, and the run's one source of chance. The same seed replays exactly. */
 class VirtualTime
 {
 public:
-    VirtualTime (std::uint64_t seed, std::size_t mostEvents) : random (seed), eventsLeft (mostEvents) {}
+    VirtualTime (std::uint64_t seed, std::size_t maxEvents) : random (seed), remainingEvents (maxEvents) {}
 
     [[nodiscard]] auto now() const -> TimePoint { return time; }
 
@@ -55,12 +55,12 @@
     {
         const auto end = time + length;
 
-        while (! queue.empty() && queue.top().time <= end && eventsLeft > 0)
+        while (! queue.empty() && queue.top().time <= end && remainingEvents > 0)
         {
             const auto event = queue.top();
             queue.pop();
             time = event.time;
-            --eventsLeft;
+            --remainingEvents;
             event.action();
         }
 
@@ -68,20 +68,20 @@
     }
 
     /** @returns a whole number from `least` to `most`. */
-    auto draw (std::int64_t least, std::int64_t most) -> std::int64_t
+    auto draw (std::int64_t minimum, std::int64_t maximum) -> std::int64_t
     {
-        return std::uniform_int_distribution<std::int64_t> (least, most) (random);
+        return std::uniform_int_distribution<std::int64_t> (minimum, maximum) (random);
     }
 
-    auto drawTime (Duration least, Duration most) -> Duration
+    auto drawTime (Duration minimum, Duration maximum) -> Duration
     {
-        return Duration (draw (least.count(), most.count()));
+        return Duration (draw (minimum.count(), maximum.count()));
     }
 
     /** @returns true in a share of cases. */
-    auto chance (double share) -> bool
+    auto chance (double probability) -> bool
     {
-        return std::uniform_real_distribution<double> (0.0, 1.0) (random) < share;
+        return std::uniform_real_distribution<double> (0.0, 1.0) (random) < probability;
     }
 
 private:
@@ -99,7 +99,7 @@
 
     TimePoint time { std::chrono::hours (1) };
     std::mt19937_64 random;
-    std::size_t eventsLeft;
+    std::size_t remainingEvents;
     std::uint64_t nextNumber = 0;
     std::priority_queue<Event> queue;
 };
