--- a/tests/bench/Bench.cpp
+++ b/tests/bench/Bench.cpp
@@ -21,7 +21,7 @@
     ServingResult result;
 };
 
-/** Replaces weights that the command line gives. */
+/** Overrides the weights that are given on the command line. */
 auto applyWeights (const CommandLine& line, ChoiceWeights& weights) -> void
 {
     const auto number = [&line] (const char* name, double fallback)
@@ -52,7 +52,9 @@
     return row;
 }
 
-/** Prints each class's first token p95 without and with one class that comes more often. */
+/** Prints the 95th percentile of the time to the first token of each class, at the usual rates and with the rate of one
+    class multiplied.
+*/
 auto printFlood (double times, Duration length, const CommandLine& line) -> void
 {
     const auto runWithFactor = [&] (double factor)
@@ -111,7 +113,7 @@
 
 } // namespace
 
-/** Compares ways to choose a replica, in virtual time: snowrudder-bench --seconds 300. */
+/** Compares policies of choosing a replica in virtual time: snowrudder-bench --seconds 300. */
 auto main (int argumentCount, char** arguments) -> int
 {
     const auto line = readCommandLine (
--- a/tests/bench/BenchPlans.cpp
+++ b/tests/bench/BenchPlans.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** @returns the slots that a workload keeps busy at rate factor 1, its prompts' computing left out. */
+/** @returns the number of slots that a workload keeps busy at a rate factor of 1, without the computation of prompts. */
 auto busySlots (const schema::LoadSettings& workload) -> double
 {
     constexpr auto stepSeconds = 0.015;
@@ -40,7 +40,7 @@
     return { tree, 1 };
 }
 
-/** Takes the choice's weights and the accounts' shares from the operators' tree. */
+/** Reads the weights of the replica choice and the shares of the client accounts from the settings tree. */
 auto applyTree (const FleetView& tree, ServingPlan& plan) -> void
 {
     for (const auto& [name, service] : tree.services())
--- a/tests/bench/BenchPlans.h
+++ b/tests/bench/BenchPlans.h
@@ -7,13 +7,14 @@
 namespace snowrudder
 {
 
-/** @returns the plan of a committed deployment: `grauenfels` or `linenwise`, its workload read from the repository.
+/** Makes the plan of a deployment whose workload and settings tree are in the repository.
 
-    @param load  share of all slots that the workload keeps busy
+    @param deployment  `grauenfels` or `linenwise`
+    @param load        the share of all slots that the workload keeps busy
 */
 auto deploymentPlan (const std::string& deployment, double load) -> ServingPlan;
 
-/** Multiplies the rate of one class. */
+/** Multiplies the request rate of one class. */
 auto floodPlan (ServingPlan& plan, const std::string& flooding, double times) -> void;
 
 } // namespace snowrudder
--- a/tests/bench/BenchTests.cpp
+++ b/tests/bench/BenchTests.cpp
@@ -4,8 +4,8 @@
 
 using namespace snowrudder;
 
-// Virtual time and fixed seeds: the counts below come out the same on every run. Bounds stand 4% over what was measured
-// (docs/design/routing.md), so that a loss of 5% fails.
+// With virtual time and fixed seeds the results are the same in every run. The bounds are 4% above the measured values
+// (docs/design/routing.md), so that a regression of 5% fails.
 
 namespace
 {
@@ -33,7 +33,7 @@
     return static_cast<double> (result.withinTarget) / static_cast<double> (result.requests);
 }
 
-/** @returns a workload in which one class comes that many times as often. */
+/** @returns a plan in which the rate of one class is multiplied. */
 auto floodedPlan (double load, const std::string& flooding, double times) -> ServingPlan
 {
     auto plan = deploymentPlan ("grauenfels", load);
@@ -81,7 +81,9 @@
 
 constexpr auto floodingClass = std::size_t { 2 };
 
-/** Calls visit (before, after) for each class of another account, without and with one account's flood. */
+/** Calls visit (before, after) for each class of the other accounts, with the results at the usual rates and with one
+    account's rate multiplied by 10.
+*/
 template <typename Visitor>
 auto forEachOtherClass (Visitor&& visit) -> void
 {
@@ -127,7 +129,8 @@
     for (const auto load : { 0.8, 0.9, 1.0, 1.1 })
         peak = std::max (peak, static_cast<double> (runPlan ("grauenfels", load, false).tokensWithinTarget));
 
-    // In tokens: at three times the load the shares bring another mix of long and short requests.
+    // Compares tokens instead of requests, as the shares admit a different mix of long and short requests at three times
+    // the load.
     const auto overloaded = runPlan ("grauenfels", 3.0, false);
 
     for (const auto& entry : overloaded.classes)
--- a/tests/bench/Policies.cpp
+++ b/tests/bench/Policies.cpp
@@ -94,7 +94,7 @@
 
         if (policy == Policy::leastLoaded)
         {
-            // Ties go to any of them, or all routers would send to the same one.
+            // Ties are broken at random; otherwise all routers would choose the same replica.
             const auto start = state.random() % usable.size();
             auto best = usable[start];
 
--- a/tests/bench/Policies.h
+++ b/tests/bench/Policies.h
@@ -8,14 +8,14 @@
 namespace snowrudder
 {
 
-/** Ways to choose a replica that ours is compared with. */
+/** The policies of choosing a replica that are compared. */
 enum class Policy
 {
     random,
     roundRobin,
     leastLoaded,
     twoChoices,
-    /** The hash ranking alone, without a look at load or own knowledge. */
+    /** Rendezvous hashing of the prompt's prefix alone, without load and without cache state. */
     prefixHash,
     product
 };
@@ -25,14 +25,14 @@
 
 auto toString (Policy policy) -> std::string_view;
 
-/** What a policy remembers between choices. */
+/** The state of a policy between choices. */
 struct PolicyState
 {
     std::mt19937_64 random { 1 };
     std::size_t next = 0;
 };
 
-/** @returns a chooser for ReplicaTable::takeBy. */
+/** @returns a chooser with the given policy for ReplicaTable::takeBy. */
 auto makeChooser (Policy policy, PolicyState& state, const ChoiceWeights& weights, TimePoint now)
     -> ReplicaTable::Chooser;
 
--- a/tests/bench/ServingSimulation.cpp
+++ b/tests/bench/ServingSimulation.cpp
@@ -21,7 +21,7 @@
 constexpr auto maxQueued = std::uint32_t { 512 };
 constexpr auto deadline = 60s;
 
-/** The world starts with empty caches and counts from the first request on. */
+/** The simulation is not limited in events. It starts with empty caches and counts from the first request on. */
 constexpr auto unlimitedEvents = std::numeric_limits<std::size_t>::max();
 
 } // namespace
@@ -417,7 +417,7 @@
                     });
     }
 
-    // The routers learn of it late, then move what runs there.
+    // The routers are informed late, and then move the requests that run in the failure domain.
     time.after (listLag,
                 [this, domain]
                 {
--- a/tests/bench/ServingSimulation.h
+++ b/tests/bench/ServingSimulation.h
@@ -19,7 +19,7 @@
 namespace snowrudder
 {
 
-/** What to run. */
+/** The parameters of a simulation. */
 struct ServingPlan
 {
     schema::LoadSettings workload;
@@ -27,31 +27,31 @@
     std::size_t engines = 10;
     std::size_t domains = 4;
     EngineLimits engine;
-    /** An engine's price an hour, by failure domain. */
+    /** The price of an engine per hour, by failure domain. */
     std::vector<double> prices;
     Policy policy = Policy::product;
     ChoiceWeights weights;
-    /** Shares of the client accounts, by their keys. */
+    /** The shares of the client accounts, by API key. */
     std::map<std::string, std::uint32_t> weightByKey;
-    /** Multiplies every rate. */
+    /** Multiplies the request rate of each class. */
     double rateFactor = 1.0;
     Duration length = 300s;
-    /** In a router's queue, before the request is refused. */
+    /** The maximum time in a router's queue before a request is refused. */
     Duration maxQueueTime = 1200ms;
-    /** Share of the slots that accounts that flood leave to the others. */
+    /** The share of the slots that is reserved from accounts that exceed their share. */
     double keptShare = ServiceCapacity::usualKeptShare;
-    /** A failure domain is reclaimed this often, and comes back after half of it; zero for never. */
+    /** The interval at which failure domains are reclaimed. Each is available again after half of it. Zero for never. */
     Duration reclaimEvery {};
-    /** Whether a leaving engine's cache blocks are taken along. */
+    /** Whether the cache blocks of requests that move from a leaving engine are moved with them. */
     bool moveCache = true;
-    /** Whether what was sent lately counts between load reports, and load reports count at all. */
+    /** Whether load reports are used, with the requests sent since the last report added to them. */
     bool useReports = true;
-    /** Every engine is unreachable in this span, for the storm behind an outage. */
+    /** All engines are unreachable for this time, to measure the retries after an outage. */
     Duration outageFrom {};
     Duration outageLength {};
 };
 
-/** What came of one class of requests. */
+/** The outcomes of the requests of one class. */
 struct ServingClass
 {
     std::uint64_t requests = 0;
@@ -62,7 +62,7 @@
     std::vector<double> firstTokenMilliseconds;
 };
 
-/** What came of a run. */
+/** The results of a simulation. */
 struct ServingResult
 {
     std::vector<ServingClass> classes;
@@ -71,19 +71,21 @@
     std::uint64_t attempts = 0;
     std::uint64_t requests = 0;
     std::uint64_t withinTarget = 0;
-    /** Answer tokens of the requests within the target. */
+    /** The number of answer tokens of all requests within the target. */
     std::uint64_t tokensWithinTarget = 0;
     std::uint64_t moves = 0;
-    /** Requests that got a replica in time for the target and missed it all the same: what hedges could win at most. */
+    /** Requests that were assigned a replica in time for the latency target but missed it: the maximum that hedged
+        requests could improve.
+    */
     std::uint64_t slowOnReplica = 0;
     double firstTokenP95 = 0.0;
     double betweenTokensP95 = 0.0;
     double costPerThousand = 0.0;
 };
 
-/** Several routers before one pool of engines in virtual time. The decisions are the program's own: FairQueue and its
-    window, ReplicaTable, RetryDecision; the engines are the stand-in's model; load reports come late. Everything
-    follows from the seed, so that a figure can be bounded in CI.
+/** Simulates several routers with one pool of engines in virtual time. The decisions are made by the production code:
+    FairQueue and its window, ReplicaTable, RetryDecision; the engines are the fake's model; load reports are delayed. The
+    results are determined by the seed, so that tests can set bounds on them.
 */
 class ServingSimulation
 {
@@ -169,7 +171,7 @@
     std::vector<double> tokenIntervals;
 };
 
-/** @returns the value that a share of all does not exceed. Sorts the values. */
+/** @returns the quantile of the values at a share from 0 to 1; 0 when there are none. Sorts the values. */
 auto quantileOf (std::vector<double>& values, double share) -> double;
 
 } // namespace snowrudder
--- a/tests/random/InjectedBug.h
+++ b/tests/random/Breakage.h
@@ -5,33 +5,33 @@
 namespace snowrudder
 {
 
-/** One promise broken on purpose, to show that the randomised run finds it. */
+/** A bug that is injected into a simulation, to show that the randomised tests detect it. */
 enum class InjectedBug
 {
     none,
-    /** An owner acts on a lapsed lease. */
+    /** A slot's owner acts after its lease has expired. */
     actsAfterLeaseExpiry,
-    /** A new owner takes every unknown key for new. */
+    /** A new owner treats every unknown key as new, although an earlier owner may have run its call. */
     forgetsEarlierKeys,
-    /** A key is forgotten when its call may have run. */
+    /** A key is removed although its call may have run. */
     forgetsUncertainKeys,
-    /** A restarted router registers while its earlier run's lease lives. */
+    /** A restarted router registers while the lease of its earlier process is still valid. */
     registersTwice,
-    /** A call that may have run is made again. */
+    /** A call that may have run is retried. */
     retriesUnsafely,
-    /** A handover gives the slot but not its keys. */
+    /** A handover transfers the slot but not its keys. */
     handsOverNoKeys,
-    /** A lost answer is told as "not run". */
+    /** A call whose response was lost is reported as "not run". */
     reportsNotRunFalsely,
-    /** A stream goes on from its beginning on the next replica. */
+    /** A stream that moves to another replica starts from its beginning. */
     restartsStreams,
-    /** A given-up attempt's late pieces are taken. */
+    /** Late chunks of an abandoned attempt are accepted. */
     acceptsLateChunks,
-    /** A list that calls a leaving replica live again is believed. */
+    /** An outdated list, in which a leaving replica is live again, is accepted. */
     acceptsOutdatedLists,
-    /** An edit of the settings is not looked for after a lost answer. */
+    /** After a lost response the stored settings are not searched for the edit. */
     ignoresEditIds,
-    /** The settings are written whatever stands there. */
+    /** The settings are written without comparing the revision that is replaced. */
     overwritesUnconditionally
 };
 
--- a/tests/random/KeyedCallSimulation.cpp
+++ b/tests/random/KeyedCallSimulation.cpp
@@ -10,7 +10,7 @@
 
 constexpr auto routerCount = std::size_t { 3 };
 
-/** A router of the first one's name, started while that one is only paused. */
+/** The index of a router that has the name of the first one and is started while the first one is only paused. */
 constexpr auto duplicateRouter = routerCount;
 constexpr auto maintenanceInterval = 1s;
 constexpr auto runLength = std::chrono::minutes (5);
@@ -191,7 +191,7 @@
     {
         const auto isRenewed = keyValues.renewLease (router.lease, startTime);
 
-        // The answer may come late, or not at all.
+        // The response may be late or lost.
         if (time.chance (lostAnswers))
             return;
 
@@ -278,7 +278,7 @@
         };
         keyValues.swap (slotKey (slot), router.view.slots[slot].version, toText (record), 0);
 
-        // The process may die at any step.
+        // The process may be killed after any step.
         if (time.chance (0.005))
         {
             restart (router);
@@ -311,7 +311,7 @@
         const auto callerOffset = std::chrono::milliseconds (time.draw (-300, 900));
         call.entry.key = makeUuid (time.wallNow (callerOffset));
 
-        // Random bits from the run's own source, so that a seed replays.
+        // The random bits are drawn from the simulation's generator, so that a seed can be replayed.
         for (auto byte = std::size_t { 9 }; byte < call.entry.key.bytes.size(); ++byte)
             call.entry.key.bytes[byte] = static_cast<std::uint8_t> (time.draw (0, 255));
 
@@ -348,7 +348,7 @@
     {
         const auto incarnation = router.incarnation;
 
-        // The call is sent a moment after the decision: a pause may fall in between.
+        // The call is sent shortly after the decision, so that the router may be paused in between.
         scheduleOnRouter (index, incarnation, time.drawTime (0ms, 5ms),
                           [this, index, call] { makeCall (index, call, 1, false); });
         return;
@@ -478,7 +478,7 @@
             break;
     }
 
-    // Often together: the next one may follow at once.
+    // The next fault often follows at once, so that faults overlap.
     time.after (time.chance (0.4) ? time.drawTime (0ms, 500ms) : time.drawTime (1s, 15s),
                 [this] { injectFault(); });
 }
--- a/tests/random/KeyedCallSimulation.h
+++ b/tests/random/KeyedCallSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "InjectedBug.h"
+#include "Breakage.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_fakes/platform/KeyValueModel.h"
@@ -13,16 +13,17 @@
 namespace snowrudder
 {
 
-/** Routers that own key slots, callers that repeat their keys at any router, and a service that counts runs; with
-    kills, pauses, planned stops, outages, lost answers, all together and twice. The decisions are the program's own:
-    KeyTable, SlotView, RetryDecision, over the stand-in's key-value model.
+/** Simulates routers that own key slots, callers that repeat their keys at any router, and a service that counts its runs.
+    Routers are killed, paused and stopped gracefully, the key-value service has outages, responses are lost; these faults
+    overlap and repeat. The decisions are made by the production code: KeyTable, SlotView, RetryDecision; the key-value
+    service is the fake's model.
 */
 class KeyedCallSimulation
 {
 public:
     KeyedCallSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents);
 
-    /** Runs, and throws a Breach when a promise is broken. */
+    /** Runs the simulation. Throws a Violation when a guarantee is broken. */
     auto run() -> void;
 
     [[nodiscard]] auto callCount() const -> std::size_t { return answered; }
@@ -33,7 +34,7 @@
     struct Router
     {
         std::string name;
-        /** Grows with each start: what an earlier run planned is not done. */
+        /** Increases with each start, so that actions scheduled by an earlier process are not executed. */
         std::uint64_t incarnation = 0;
         bool alive = false;
         bool leaving = false;
@@ -77,7 +78,9 @@
         -> void;
     auto injectFault() -> void;
 
-    /** Does something on a router's thread: later if it is paused, never if that run of it has ended. */
+    /** Schedules an action of a router. It is deferred while the router is paused, and dropped when the router's process
+        has ended.
+    */
     auto scheduleOnRouter (std::size_t index,
                            std::uint64_t incarnation,
                            Duration delay,
--- a/tests/random/RandomRuns.cpp
+++ b/tests/random/RandomRuns.cpp
@@ -14,7 +14,10 @@
 
 constexpr auto unlimitedEvents = std::numeric_limits<std::size_t>::max();
 
-/** @returns the promise that a world breaks within some events, or an empty text. */
+/** Runs a simulation for a limited number of events.
+
+    @returns the guarantee that was broken; empty when there is none
+*/
 template <typename Simulation>
 auto runLimited (std::uint64_t seed, InjectedBug bug, std::size_t events, std::vector<std::string>& trace)
     -> std::string
@@ -34,7 +37,7 @@
     return {};
 }
 
-/** Halves the run's length for as long as the breach stays. */
+/** Finds the minimum number of events that reproduces the violation, by bisection. */
 template <typename Simulation>
 auto minimizeEvents (FoundViolation violation, InjectedBug bug) -> FoundViolation
 {
--- a/tests/random/RandomRuns.h
+++ b/tests/random/RandomRuns.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "InjectedBug.h"
+#include "Breakage.h"
 
 #include <cstdint>
 #include <optional>
@@ -10,19 +10,19 @@
 namespace snowrudder
 {
 
-/** The first breach of one seed. */
+/** The first violation that was found with a seed. */
 struct FoundViolation
 {
     std::uint64_t seed = 0;
     std::string simulation;
     std::string guarantee;
-    /** The least number of events with which it still happens. */
+    /** The minimum number of events that reproduces the violation. */
     std::size_t events = 0;
-    /** What happened until then. */
+    /** The events up to the violation. */
     std::vector<std::string> trace;
 };
 
-/** Counts over many seeds. */
+/** Totals over all seeds of a run. */
 struct RandomCounts
 {
     std::uint64_t seeds = 0;
@@ -34,9 +34,9 @@
     std::uint64_t storedEdits = 0;
 };
 
-/** Runs one seed in all worlds.
+/** Runs all simulations with one seed.
 
-    @returns the breach, shortened as far as it could be, or nothing
+    @returns the first violation, with the number of events reduced to the minimum; nothing when there is none
 */
 auto runSeed (std::uint64_t seed, InjectedBug bug, RandomCounts& counts) -> std::optional<FoundViolation>;
 
--- a/tests/random/RandomSeeds.cpp
+++ b/tests/random/RandomSeeds.cpp
@@ -10,7 +10,9 @@
 #include <thread>
 #include <vector>
 
-/** Runs many seeds by hand: snowrudder-seeds --first 1 --count 10000. Prints each breach with its shortest trace. */
+/** Runs many seeds of the randomised tests, for use from a shell: snowrudder-seeds --first 1 --count 10000. Prints each
+    violation with its shortest trace.
+*/
 auto main (int argumentCount, char** arguments) -> int
 {
     using namespace snowrudder;
--- a/tests/random/RandomTests.cpp
+++ b/tests/random/RandomTests.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE ("no fixed seed breaks a promise")
+TEST_CASE ("no fixed seed violates a guarantee")
 {
     throwOnViolation();
     RandomCounts counts;
@@ -33,7 +33,7 @@
         if (const auto violation = runSeed (seed, InjectedBug::none, counts))
             FAIL (describe (*violation));
 
-    // A run in which little happens would prove little.
+    // These minimums ensure that the seeds cover enough calls, edits and streams for the test to be meaningful.
     CHECK (counts.calls > 60 * fixedSeedCount);
     CHECK (counts.successfulCalls * 2 > counts.calls);
     CHECK (counts.edits >= 20 * fixedSeedCount);
@@ -41,7 +41,7 @@
     CHECK (counts.completedStreams * 10 > counts.streams * 7);
 }
 
-TEST_CASE ("each promise broken on purpose is found")
+TEST_CASE ("each injected bug is detected")
 {
     throwOnViolation();
 
--- a/tests/random/SettingsEditSimulation.cpp
+++ b/tests/random/SettingsEditSimulation.cpp
@@ -106,7 +106,7 @@
         return;
     }
 
-    // The answer comes later than the call takes effect, so that the calls of several operators interleave.
+    // The response arrives some time after the call takes effect, so that the calls of several operators interleave.
     const auto answer = makeCall (*call);
     time.after (time.drawTime (callDuration, callDuration * 20),
                 [this, &editor, answer]
@@ -134,7 +134,7 @@
     const auto current = store.read (key);
     StoreAnswer answer { WriteOutcome::done, { key, current.value, current.version, 0 } };
 
-    // The edit's identifier is not read back.
+    // Injected bug: the edit's identifier is changed, so that the edit is not found in the stored tree.
     if (bug == InjectedBug::ignoresEditIds && key == treeStoreKey)
         if (const auto place = answer.value.value.find ("operator-"); place != std::string::npos)
             answer.value.value[place] = 'x';
@@ -168,7 +168,7 @@
 {
     auto expected = call.expected;
 
-    // A write that does not look at what it replaces.
+    // Injected bug: the write replaces any version.
     if (bug == InjectedBug::overwritesUnconditionally)
         expected = store.read (call.key).version;
 
--- a/tests/random/SettingsEditSimulation.h
+++ b/tests/random/SettingsEditSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "InjectedBug.h"
+#include "Breakage.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_admin/snowrudder_admin.h"
@@ -14,9 +14,9 @@
 namespace snowrudder
 {
 
-/** Operators who race one another for the settings tree while the platform's service loses answers, is down, and lets writes
-    take effect late. The procedure is the program's own. It checks what each operator was told against every tree that was
-    ever the head.
+/** Simulates operators who concurrently edit the settings tree while the platform's key-value service loses responses, has
+    outages, and applies writes late. The edit procedure is the production code. The results that were reported to the
+    operators are checked against all trees that were ever the head.
 */
 class SettingsEditSimulation
 {
@@ -56,9 +56,9 @@
     KeyValueModel store;
     bool isDown = false;
     std::vector<Operator> operators;
-    /** Edits in the order in which they were the head, with their revisions. */
+    /** The edits in the order in which they became the head, with their revisions. */
     std::vector<std::pair<std::string, std::uint64_t>> heads;
-    /** What operators were told last of each edit. */
+    /** The last result of each edit that was reported to its operator. */
     std::map<std::string, EditResult::Kind> reportedResults;
     std::map<std::string, std::uint64_t> reportedRevisions;
     std::vector<std::string> log;
--- a/tests/random/StreamSimulation.cpp
+++ b/tests/random/StreamSimulation.cpp
@@ -16,7 +16,9 @@
 constexpr auto runLength = std::chrono::seconds (60);
 constexpr auto initialEngines = 5;
 constexpr auto minEngines = 3;
-/** "Nothing new after a few seconds": the list lags by up to this, and is read that often. */
+/** The maximum delay until a change of the replicas reaches the table, from the lag of the list and the interval of its
+    reads. A leaving replica must not receive new requests after a few seconds.
+*/
 constexpr auto maxListLag = 1500ms;
 constexpr auto allowedTime = 2s;
 constexpr auto stallTimeout = 3s;
@@ -65,7 +67,7 @@
 
 auto StreamSimulation::readInParts (const Request& request) const -> std::string
 {
-    // As a caller does that breaks off and resumes, again and again.
+    // Reads the stream as a caller that disconnects and resumes repeatedly.
     std::string text;
     auto after = std::size_t { 0 };
 
@@ -113,7 +115,7 @@
         if (! engine.alive)
             continue;
 
-        // A late list calls a leaving VM live again.
+        // In an outdated list a leaving VM is live again.
         listed.push_back ({ engine.info, engine.isReclaimed && ! isLate });
     }
 
@@ -139,8 +141,8 @@
             if (owner == requestIndices.end())
                 continue;
 
-            // A piece may come late, even after its attempt was given up. Those of one attempt come in order over one
-            // connection: a late one holds the others back.
+            // A chunk may arrive late, even after its attempt was abandoned. The chunks of an attempt share a connection
+            // and arrive in order, so a late one delays those after it.
             auto& arrival = lastArrivals[owner->first];
             arrival = std::max (
                 arrival, time.now() + (time.chance (0.02) ? time.drawTime (0ms, 4s) : Duration::zero()));
@@ -340,7 +342,7 @@
         case 2:
             if (mayRemove)
             {
-                // The sign reaches the table late; the promise counts from there.
+                // The table is informed late; no new requests may be sent to the engine from that time on.
                 engine.isReclaimed = true;
                 logEvent ("reclaim " + engine.info.name);
                 time.after (time.drawTime (0ms, maxListLag),
--- a/tests/random/StreamSimulation.h
+++ b/tests/random/StreamSimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "InjectedBug.h"
+#include "Breakage.h"
 #include "VirtualTime.h"
 
 #include "snowrudder_fakes/engine/EngineModel.h"
@@ -15,16 +15,17 @@
 namespace snowrudder
 {
 
-/** Model requests on engines that are reclaimed, killed and stall, routed by a table that learns of it late: every
-    caller must get the whole answer to its own request, each event once, and a leaving replica nothing new. The
-    decisions are the program's own: ReplicaTable, RetryDecision, RequestRecord, over the stand-in's engine model.
+/** Simulates model requests on engines that stall, are reclaimed and are killed, with a replica table that is updated late.
+    Every caller must receive the complete answer to its own request, each event once, and a leaving replica must not
+    receive new requests. The decisions are made by the production code: ReplicaTable, RetryDecision, RequestRecord; the
+    engines are the fake's model.
 */
 class StreamSimulation
 {
 public:
     StreamSimulation (std::uint64_t seed, InjectedBug injectedBug, std::size_t maxEvents);
 
-    /** Runs, and throws a Breach when a promise is broken. */
+    /** Runs the simulation. Throws a Violation when a guarantee is broken. */
     auto run() -> void;
 
     [[nodiscard]] auto completedCount() const -> std::size_t { return completed; }
@@ -39,7 +40,7 @@
         bool alive = true;
         bool isReclaimed = false;
         TimePoint stalledUntil {};
-        /** From here on nothing new may come: the routers have had the time that is promised. */
+        /** The time from which the engine must not receive new requests, as the routers have been informed. */
         std::optional<TimePoint> noRequestsFrom;
     };
 
--- a/tests/random/VirtualTime.h
+++ b/tests/random/VirtualTime.h
@@ -11,26 +11,28 @@
 namespace snowrudder
 {
 
-/** A breach found by a randomised run. */
+/** A broken guarantee or invariant that was found by a randomised run. */
 struct Violation : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/** Makes the program's own invariants end a run with a Breach in place of the process. */
+/** Makes violated invariants of the production code throw a Violation instead of ending the process. */
 inline auto throwOnViolation() -> void
 {
     setInvariantHandler ([] (std::string_view name) { throw Violation (std::string (name)); });
 }
 
-/** Throws when something that must hold does not. */
+/** Throws a Violation when the condition is false. */
 inline auto expect (bool condition, const std::string& message) -> void
 {
     if (! condition)
         throw Violation (message);
 }
 
-/** Virtual time with events in order, and the run's one source of chance. The same seed replays exactly. */
+/** A virtual clock with an ordered queue of events, and the run's only random generator, so that a seed can be replayed
+    exactly.
+*/
 class VirtualTime
 {
 public:
@@ -38,7 +40,7 @@
 
     [[nodiscard]] auto now() const -> TimePoint { return time; }
 
-    /** @returns the wall time of a machine whose clock is off by some time. */
+    /** @returns the wall time of a node whose clock has an offset. */
     [[nodiscard]] auto wallNow (std::chrono::milliseconds offset = {}) const -> WallTime
     {
         constexpr auto begin = WallTime (std::chrono::milliseconds (1'800'000'000'000));
@@ -50,7 +52,7 @@
         queue.push ({ time + std::max (delay, Duration::zero()), nextNumber++, std::move (event) });
     }
 
-    /** Runs events until none is left, the time is over, or the run's length is reached. */
+    /** Runs events until none is left, `length` has passed, or the maximum number of events is reached. */
     auto run (Duration length) -> void
     {
         const auto end = time + length;
@@ -67,7 +69,7 @@
         time = end;
     }
 
-    /** @returns a whole number from `least` to `most`. */
+    /** @returns a random integer from `minimum` to `maximum`, both included. */
     auto draw (std::int64_t minimum, std::int64_t maximum) -> std::int64_t
     {
         return std::uniform_int_distribution<std::int64_t> (minimum, maximum) (random);
@@ -78,7 +80,7 @@
         return Duration (draw (minimum.count(), maximum.count()));
     }
 
-    /** @returns true in a share of cases. */
+    /** @returns true with the given probability. */
     auto chance (double probability) -> bool
     {
         return std::uniform_real_distribution<double> (0.0, 1.0) (random) < probability;
