--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own checks find what they are for, and a short seeded run of it keeps every promise."""
+"""Tests that the soak test's checks detect broken guarantees, and runs it for a short time with fixed seeds."""
 import pathlib
 import shutil
 import signal
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parents[1] / "soak"))
 
 import soak  # noqa: E402  (its folder is put on the path above)
-from ledger import End, Ledger, Run, Sent, duty_breaches  # noqa: E402
+from ledger import End, Ledger, Run, SentRequest, duty_breaches  # noqa: E402
 from proxy import Proxy  # noqa: E402
 
 LIMITS = {"revoke": 3.0, "drain": 3.0, "contact": 3.0, "answer": 7.0, "stop": 7.0}
@@ -22,10 +22,10 @@
         self.ledger = Ledger()
 
     def send(self, id="r-1", kind="once", began=10.0, ended=10.1, status=200, fault=""):
-        self.ledger.note_sent(Sent(id, kind, "front-0", "alpha-0", "alpha", began, ended, status, fault=fault))
+        self.ledger.record_request(SentRequest(id, kind, "front-0", "alpha-0", "alpha", began, ended, status, fault=fault))
 
     def run_at(self, id="r-1", replica="i-0", account="alpha", at=10.05):
-        self.ledger.note_run(Run(id, replica, account, at))
+        self.ledger.record_run(Run(id, replica, account, at))
 
     def assert_breach(self, part):
         found = self.ledger.breaches(LIMITS)
@@ -70,7 +70,7 @@
         self.assert_breach("after its key was revoked")
 
     def test_a_run_at_a_replica_that_was_leaving_counts_at_calm_nodes_only(self):
-        self.ledger.left["i-0"] = 6.0
+        self.ledger.leaving_since["i-0"] = 6.0
         self.send()
         self.run_at()
         self.assert_breach("after it was leaving")
@@ -145,13 +145,13 @@
 
 class SeededRun(unittest.TestCase):
     def test_a_short_run_keeps_every_promise(self):
-        broken, folder = soak.play(seed=1, seconds=6, nodes=3, replicas=3, callers=6)
+        broken, folder = soak.run_seed(seed=1, seconds=6, nodes=3, replicas=3, callers=6)
         self.assertEqual(broken, [], f"logs in {folder}")
         shutil.rmtree(folder)
 
     def test_seeds_that_ever_failed_and_some_more_keep_every_promise(self):
         for seed in [*soak.regressions(), 2, 3, 4]:
-            broken, folder = soak.play(seed, seconds=10, nodes=4, replicas=4, callers=8)
+            broken, folder = soak.run_seed(seed, seconds=10, nodes=4, replicas=4, callers=8)
             self.assertEqual(broken, [], f"seed {seed}, logs in {folder}")
             shutil.rmtree(folder)
 
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers and replicas saw in a soak, and the promises that it is checked against."""
+"""Records what callers and replicas observed in a soak test, and checks it against the guarantees."""
 import collections
 import contextlib
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentRequest:
     """One request of a caller."""
     id: str
     kind: str
@@ -20,17 +20,17 @@
     began: float
     ended: float = 0.0
     status: int = 0
-    """0: no whole answer came."""
-    said: str = ""
-    """Why there is none, or what `ran` said."""
+    """0 when no complete answer was received."""
+    error: str = ""
+    """The type of the exception when no complete answer was received."""
     keeps_connection: bool = False
     fault: str = ""
-    """What is wrong with the answer itself."""
+    """The fault of the answer itself; empty when it is correct."""
 
 
 @dataclasses.dataclass
 class Run:
-    """One run at a replica."""
+    """One run of a request at a replica."""
     id: str
     replica: str
     account: str
@@ -42,7 +42,7 @@
     """The end of a node's process."""
     node: str
     sent: int
-    """The signal that it was sent; 0: none."""
+    """The signal that was sent to the process; 0 for none."""
     code: int
     seconds: float
 
@@ -53,27 +53,27 @@
         self.sent = {}
         self.runs = []
         self.revoked = {}
-        self.left = {}
+        self.leaving_since = {}
         self.disturbed = collections.defaultdict(list)
-        self.thawed = {}
+        self.resumed_at = {}
         self.ends = []
         self.crashes = collections.defaultdict(list)
 
-    def note_crash(self, body):
+    def record_crash(self, body):
         with self.lock:
             self.crashes[body].append(time.monotonic())
 
-    def note_sent(self, request):
+    def record_request(self, request):
         with self.lock:
             self.sent[request.id] = request
 
-    def note_run(self, run):
+    def record_run(self, run):
         with self.lock:
             self.runs.append(run)
 
     @contextlib.contextmanager
     def disturbance(self, nodes, after=0.0):
-        """Something is done to nodes: they count as disturbed from now until its end, and for `after` seconds more."""
+        """Marks nodes as disturbed by a fault during the context and for `after` seconds more."""
         span = [time.monotonic(), float("inf")]
         with self.lock:
             for node in nodes:
@@ -83,26 +83,26 @@
         finally:
             span[1] = time.monotonic() + after
 
-    def is_calm(self, node, began, ended, contact):
-        """Whether nothing was done to a node from some time before until the end."""
+    def is_undisturbed(self, node, began, ended, contact):
+        """Whether no fault disturbed a node from `contact` seconds before `began` until `ended`."""
         return all(until + contact < began or since > ended for since, until in self.disturbed[node])
 
     def breaches(self, limits):
-        """Lists the promises that were broken, a line each. `limits`: see soak.LIMITS."""
+        """Lists the broken guarantees, one line each. `limits`: see soak.LIMITS."""
         runs = collections.defaultdict(list)
         for run in self.runs:
             runs[run.id].append(run)
         found = [f"runs without a request: {id}" for id in runs if id not in self.sent]
         for request in self.sent.values():
-            found += self.of_request(request, runs[request.id], limits)
+            found += self.check_request(request, runs[request.id], limits)
         for end in self.ends:
-            found += self.of_end(end, limits)
+            found += self.check_end(end, limits)
         for body, crashes in self.crashes.items():
-            found += self.of_crashes(body, sorted(crashes), limits)
+            found += self.check_crashes(body, sorted(crashes), limits)
         return found
 
     @staticmethod
-    def of_end(end, limits):
+    def check_end(end, limits):
         if not end.sent:
             yield f"{end.node} ended by itself with {end.code}"
         elif end.sent == signal.SIGTERM and end.code != 0:
@@ -110,20 +110,20 @@
         elif end.sent == signal.SIGTERM and end.seconds > limits["stop"]:
             yield f"{end.node} took {end.seconds:.1f} s to stop"
 
-    def of_crashes(self, body, crashes, limits):
-        """A request that ended three replicas runs three times more at most, once all nodes can know of it."""
+    def check_crashes(self, body, crashes, limits):
+        """A request that has crashed three replicas may run at most three times more once all nodes can have received that."""
         if len(crashes) < 3:
             return
         late = [run for run in self.runs if (request := self.sent.get(run.id)) is not None and request.kind == body
                 and run.at > crashes[2] + limits["contact"]
-                and self.is_calm(request.node, request.began, run.at, limits["contact"])]
+                and self.is_undisturbed(request.node, request.began, run.at, limits["contact"])]
         if len(late) > 3:
             yield f"{body} ran {len(late)} times more after it had ended three replicas, {len(crashes)} in all"
 
-    def of_request(self, request, runs, limits):
+    def check_request(self, request, runs, limits):
         may_repeat = request.kind in ("again", "resumed-stream") or request.kind in self.crashes
-        most = 2 if may_repeat else 1
-        if len(runs) > most:
+        max_runs = 2 if may_repeat else 1
+        if len(runs) > max_runs:
             yield f"{request.id} ({request.kind}) ran {len(runs)} times"
         if request.status in NOT_RUN and runs and not may_repeat:
             yield f"{request.id} ({request.kind}) was told {request.status}, and ran at {runs[0].replica}"
@@ -135,20 +135,23 @@
             revoked = self.revoked.get(request.key)
             if revoked is not None and request.began > revoked + limits["revoke"]:
                 yield f"{request.id} ran {request.began - revoked:.1f} s after its key was revoked"
-            left = self.left.get(run.replica)
-            calm = self.is_calm(request.node, request.began, run.at, limits["contact"])
+            left = self.leaving_since.get(run.replica)
+            calm = self.is_undisturbed(request.node, request.began, run.at, limits["contact"])
             if left is not None and calm and request.began > left + limits["drain"]:
                 yield f"{request.id} ran at {run.replica} {request.began - left:.1f} s after it was leaving"
-        if self.is_calm(request.node, request.began, request.ended, limits["contact"]):
+        if self.is_undisturbed(request.node, request.began, request.ended, limits["contact"]):
             if request.ended - request.began > limits["answer"]:
                 yield f"{request.id} ({request.kind}) was held {request.ended - request.began:.1f} s"
 
 
-def duty_breaches(calls, thawed, thaw):
-    """Lists usage windows with two counts and fences that went back. `calls`: (time, path, holder, fence, body)"""
+def duty_breaches(calls, resumed_at, grace):
+    """Lists usage windows that were reported with two different counts, and fencing tokens that decreased. Calls within
+    `grace` seconds after their holder's process was resumed don't count for the tokens.
+
+    `calls`: (time, path, holder, fence, body)"""
     counts, highest, found = {}, 0, []
     for at, path, holder, fence, body in calls:
-        if at - thawed.get(holder, -thaw) > thaw:
+        if at - resumed_at.get(holder, -grace) > grace:
             if fence < highest:
                 found.append(f"{holder} acted with fence {fence} after {highest}")
             highest = max(highest, fence)
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,24 +1,24 @@
-"""A loopback proxy for TCP connections, with faults that are switched from outside."""
+"""A loopback proxy for TCP connections with faults that are set from outside."""
 import contextlib
 import socket
 import struct
 import threading
 import time
 
-PIECE = 65536
-# The first lets everything through.
+CHUNK_SIZE = 65536
+# The first one is the mode without a fault.
 MODES = ("pass", "delay", "silent", "answers_lost", "reset")
 
 
 class Proxy:
-    """Stands before one address. In mode "silent" nothing passes either way, in "answers_lost" nothing comes back; bytes
-    that were held up are passed on, late, when the mode ends. "reset" resets what is open and what comes."""
+    """Forwards connections to one address. Mode "silent" blocks both directions, "answers_lost" blocks the answers; blocked
+    bytes are forwarded late, when the mode ends. "delay" delays each chunk. "reset" resets open and new connections."""
 
     def __init__(self, target):
         self.target = target
         self.mode = "pass"
         self.delay = 0.0
-        self.open = set()
+        self.connections = set()
         self.lock = threading.Lock()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.port = self.listener.getsockname()[1]
@@ -28,13 +28,13 @@
         self.mode, self.delay = mode, delay
         if mode == "reset":
             with self.lock:
-                for connection in list(self.open):
+                for connection in list(self.connections):
                     self.reset(connection)
 
     def close(self):
         self.listener.close()
         with self.lock:
-            for connection in list(self.open):
+            for connection in list(self.connections):
                 with contextlib.suppress(OSError):
                     connection.close()
 
@@ -54,7 +54,7 @@
             threading.Thread(target=self.connect, args=(caller,), daemon=True).start()
 
     def connect(self, caller):
-        self.hold(False)
+        self.wait_while_blocked(False)
         if self.mode == "reset":
             self.reset(caller)
             return
@@ -64,25 +64,25 @@
             self.reset(caller)
             return
         with self.lock:
-            self.open |= {caller, server}
+            self.connections |= {caller, server}
         for source, sink, is_answer in ((caller, server, False), (server, caller, True)):
-            threading.Thread(target=self.pump, args=(source, sink, is_answer), daemon=True).start()
+            threading.Thread(target=self.forward, args=(source, sink, is_answer), daemon=True).start()
 
-    def hold(self, is_answer):
-        """Waits while the mode lets nothing through in this direction."""
+    def wait_while_blocked(self, is_answer):
+        """Waits while the mode blocks this direction."""
         while self.mode == "silent" or (self.mode == "answers_lost" and is_answer):
             time.sleep(0.02)
 
-    def pump(self, source, sink, is_answer):
+    def forward(self, source, sink, is_answer):
         try:
-            while piece := source.recv(PIECE):
-                self.hold(is_answer)
+            while chunk := source.recv(CHUNK_SIZE):
+                self.wait_while_blocked(is_answer)
                 if self.mode == "delay":
                     time.sleep(self.delay)
-                sink.sendall(piece)
+                sink.sendall(chunk)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
             self.reset(source)
             self.reset(sink)
         with self.lock:
-            self.open -= {source}
+            self.connections -= {source}
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,12 @@
-"""A randomised soak on real processes: faults from outside, promises checked from what callers and replicas saw.
+"""A randomised soak test of real processes: faults are injected from outside, and the guarantees are checked by what
+callers and replicas observe.
 
     python3 tests/soak/soak.py --seed 7 --seconds 20
     python3 tests/soak/soak.py --seed 100 --count 50       fifty seeds, one after the other
-    python3 tests/soak/soak.py --regressions               the seeds that ever failed, from regressions.txt
+    python3 tests/soak/soak.py --regressions               the seeds in regressions.txt, which have failed before
 
-A seed draws the same faults at the same times; what processes do between them is theirs. The folder of a failed run, with
-the nodes' logs, is kept and named.
+A seed always gives the same faults at the same times; the timing of the processes is not deterministic. The folder of a
+failed run, which has the nodes' logs, is kept and its path is printed.
 """
 import argparse
 import http.client
@@ -22,40 +23,40 @@
 from proxy import MODES
 from world import World
 
-# Seconds. The settings of the nodes say 2.5 for revoked keys; the rest are the platform's figures for a small site, each with
-# a margin for a machine that is busy.
+# In seconds. The nodes' setting for revoked keys is 2.5; the others are the platform's limits for a small site. Each has a
+# margin for a busy host.
 LIMITS = {"revoke": 3.0, "drain": 3.0, "contact": 3.5, "answer": 7.0, "stop": 7.0}
-THAW = 0.3
+RESUME_GRACE = 0.3
 
 OUTAGES = ("silent", "busy")
 REPLICA_TROUBLES = ("cut", "fail", "shed", "surplus", "break", "slow")
 
 
 class Faults:
-    """Draws faults and carries them out; several overlap."""
+    """Draws random faults and injects them; faults may overlap."""
 
     def __init__(self, world, draw):
         self.world, self.draw = world, draw
-        self.under_way = []
+        self.running_threads = []
         self.busy_nodes = set()
         self.kinds = [self.store_cut, self.store_cut, self.store_outage, self.lapse, self.node_killed, self.node_stopped,
                       self.node_frozen, self.herd_killed, self.reload, self.replica_cut, self.replica_trouble, self.replica_trouble,
                       self.replica_leaves, self.revoke, self.revoke, self.lost_answers, self.fatal_request]
 
-    def strike(self):
+    def inject(self):
         kind = self.draw.choice(self.kinds)
         seconds = self.draw.uniform(0.5, 4)
         thread = threading.Thread(target=kind, args=(seconds, random.Random(self.draw.random())), daemon=True)
         thread.start()
-        self.under_way.append(thread)
+        self.running_threads.append(thread)
         return f"{kind.__name__} {seconds:.1f}"
 
     def wait(self):
-        for thread in self.under_way:
+        for thread in self.running_threads:
             thread.join(30)
 
-    def take_node(self, draw):
-        """A node that no other fault has now."""
+    def claim_node(self, draw):
+        """Picks a node that no other fault uses, and keeps at least one node unused; None when there is none."""
         free = [node for node in self.world.nodes if node not in self.busy_nodes]
         if len(free) <= 1:
             return None
@@ -63,8 +64,8 @@
         self.busy_nodes.add(node)
         return node
 
-    def of_node(self, draw, act):
-        node = self.take_node(draw)
+    def with_claimed_node(self, draw, act):
+        node = self.claim_node(draw)
         if node is None:
             return
         with self.world.ledger.disturbance([node.name]):
@@ -72,18 +73,18 @@
         self.busy_nodes.discard(node)
 
     def node_killed(self, seconds, draw):
-        self.of_node(draw, lambda node: self.world.stop_process(node, signal.SIGKILL))
+        self.with_claimed_node(draw, lambda node: self.world.stop_process(node, signal.SIGKILL))
 
     def node_stopped(self, seconds, draw):
-        self.of_node(draw, lambda node: self.world.stop_process(node, signal.SIGTERM))
+        self.with_claimed_node(draw, lambda node: self.world.stop_process(node, signal.SIGTERM))
 
     def node_frozen(self, seconds, draw):
         def act(node):
             node.process.send_signal(signal.SIGSTOP)
             time.sleep(seconds)
             node.process.send_signal(signal.SIGCONT)
-            self.world.ledger.thawed[node.name] = time.monotonic()
-        self.of_node(draw, act)
+            self.world.ledger.resumed_at[node.name] = time.monotonic()
+        self.with_claimed_node(draw, act)
 
     def herd_killed(self, seconds, draw):
         threads = [threading.Thread(target=self.node_killed, args=(seconds, draw)) for _ in self.world.nodes[1:]]
@@ -98,13 +99,13 @@
             node.process.send_signal(signal.SIGHUP)
 
     def store_cut(self, seconds, draw):
-        door = draw.choice(self.world.store_doors)
-        node = self.world.nodes[self.world.store_doors.index(door)]
+        proxy = draw.choice(self.world.store_proxies)
+        node = self.world.nodes[self.world.store_proxies.index(proxy)]
         with self.world.ledger.disturbance([node.name], after=1):
-            self.behind(door, seconds, draw, 0.3)
+            self.inject_proxy_fault(proxy, seconds, draw, 0.3)
 
     def store_trouble(self, seconds, switch, lapsing=()):
-        """The store misbehaves towards all; the entries of replicas in `lapsing` go."""
+        """Injects a fault of the store for all nodes and removes the entries of the replicas in `lapsing`."""
         with self.world.ledger.disturbance([node.name for node in self.world.nodes], after=1):
             setattr(self.world.store, switch, True)
             for name in lapsing:
@@ -116,7 +117,7 @@
         self.store_trouble(seconds, draw.choice(OUTAGES))
 
     def lapse(self, seconds, draw):
-        """Entries lapse while the store is away, and come back behind it."""
+        """The entries of all replicas expire while the store is unavailable, and are written again afterwards."""
         kept = list(self.world.replicas.values())
         self.store_trouble(seconds, draw.choice(OUTAGES), [replica.name for replica in kept])
         for replica in kept:
@@ -127,14 +128,14 @@
         self.store_trouble(seconds, "lose_answers")
 
     @staticmethod
-    def behind(door, seconds, draw, delay):
-        door.set(draw.choice(MODES[1:]), delay)
+    def inject_proxy_fault(proxy, seconds, draw, delay):
+        proxy.set(draw.choice(MODES[1:]), delay)
         time.sleep(seconds)
-        door.set("pass")
+        proxy.set("pass")
 
     def replica_cut(self, seconds, draw):
         if self.world.replicas:
-            self.behind(self.world.doors[draw.choice(list(self.world.replicas))], seconds, draw, 0.2)
+            self.inject_proxy_fault(self.world.proxies[draw.choice(list(self.world.replicas))], seconds, draw, 0.2)
 
     def replica_trouble(self, seconds, draw):
         if not self.world.replicas:
@@ -144,10 +145,10 @@
 
     def replica_leaves(self, seconds, draw):
         if len(self.world.replicas) > 2:
-            self.world.let_leave(draw.choice(list(self.world.replicas)))
+            self.world.start_leaving(draw.choice(list(self.world.replicas)))
 
     def fatal_request(self, seconds, draw):
-        """A caller repeats a request that ends each replica that runs it."""
+        """A caller repeats a request that crashes each replica that runs it."""
         body = f"fatal {draw.random()}"
         end = time.monotonic() + seconds + LIMITS["contact"] + 2
         while time.monotonic() < end:
@@ -161,19 +162,19 @@
         self.world.revoke(draw.choice(list(self.world.keys)))
 
 
-def play(seed, seconds, nodes, replicas, callers):
-    """Plays one seed; returns what was broken, and the folder of its logs."""
+def run_seed(seed, seconds, nodes, replicas, callers):
+    """Runs one seed; returns the broken guarantees and the folder of the logs."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"snowrudder-soak-{seed}-"))
     world = World(seed, folder, nodes, replicas, callers)
     draw = random.Random(seed)
     faults = Faults(world, draw)
-    struck = []
+    injected = []
     try:
         world.start()
         began = time.monotonic()
         while time.monotonic() - began < seconds:
             time.sleep(draw.uniform(0.3, 1.5))
-            struck.append(f"{time.monotonic() - began:6.1f} {faults.strike()}")
+            injected.append(f"{time.monotonic() - began:6.1f} {faults.inject()}")
         faults.wait()
         world.heal()
         time.sleep(LIMITS["contact"])
@@ -181,16 +182,16 @@
     finally:
         world.close()
     broken += world.ledger.breaches(LIMITS)
-    broken += duty_breaches(list(world.cloud.calls), world.ledger.thawed, THAW)
+    broken += duty_breaches(list(world.cloud.calls), world.ledger.resumed_at, RESUME_GRACE)
     served = sum(request.status == 200 for request in world.ledger.sent.values())
-    (folder / "faults.txt").write_text("\n".join([*struck, *broken]) + "\n")
-    print(f"seed {seed}: {len(struck)} faults, {len(world.ledger.sent)} requests, {served} served, "
+    (folder / "faults.txt").write_text("\n".join([*injected, *broken]) + "\n")
+    print(f"seed {seed}: {len(injected)} faults, {len(world.ledger.sent)} requests, {served} served, "
           f"{sum(map(len, world.ledger.crashes.values()))} crashes, {len(broken)} broken", flush=True)
     return broken, folder
 
 
 def regressions():
-    """The seeds that ever failed."""
+    """Returns the seeds that have failed before."""
     lines = (pathlib.Path(__file__).parent / "regressions.txt").read_text().splitlines()
     return [int(line.split("|")[0]) for line in lines if line and not line.startswith("#")]
 
@@ -210,7 +211,7 @@
         seeds = regressions()
     failed = 0
     for seed in seeds:
-        broken, folder = play(seed, given.seconds, given.nodes, given.replicas, given.callers)
+        broken, folder = run_seed(seed, given.seconds, given.nodes, given.replicas, given.callers)
         failed += bool(broken)
         for line in broken[:10]:
             print(f"  {line}")
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,5 @@
-"""The deployment of a soak: router processes, stand-ins of the platform, and a proxy before each store and replica."""
+"""The deployment of a soak test: router processes, fakes of the platform, a proxy between each router and the store, and a
+proxy in front of each replica."""
 import contextlib
 import http.client
 import itertools
@@ -14,7 +15,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parents[1] / "process"))
 
 from harness import free_ports, wait_until  # noqa: E402  (its folder is put on the path above)
-from ledger import End, Ledger, Run, Sent  # noqa: E402
+from ledger import End, Ledger, Run, SentRequest  # noqa: E402
 from platform_deployment import Node, configuration  # noqa: E402
 from platform_stand_in import Cloud, Replica, Store  # noqa: E402
 from proxy import Proxy  # noqa: E402
@@ -23,16 +24,16 @@
 KINDS = {"again": ("GET", "/again/x"), "once": ("POST", "/once/x"), "stream": ("POST", "/stream/x"),
          "resumed-stream": ("POST", "/resumed-stream/x")}
 EVENTS = 6
-# Seconds until a replica that crashed is replaced, and until its entry lapses.
-REPLACED_AFTER = 1.0
-ENTRY_LAPSES = 1.5
-# Seconds after which a process that does not end is killed: far over its grace time of 6 s.
-LONGEST_STOP = 15
-WHOLE = [b"data: piece %d" % number for number in range(1, EVENTS + 1)]
+# Seconds until a crashed replica is replaced, and until its entry expires.
+REPLACEMENT_DELAY = 1.0
+ENTRY_EXPIRY_DELAY = 1.5
+# Seconds after which a process that does not end is killed; well above its grace period of 6 s.
+MAX_STOP_SECONDS = 15
+EXPECTED_EVENTS = [b"data: piece %d" % number for number in range(1, EVENTS + 1)]
 
 
-class WatchedReplica(Replica):
-    """Tells the ledger of its runs, and crashes under a fatal request."""
+class RecordedReplica(Replica):
+    """Records its runs in the ledger, and crashes when it runs a fatal request."""
 
     def __init__(self, port, name, ledger, crash):
         super().__init__(port, name, events=EVENTS)
@@ -46,7 +47,7 @@
 
     def note_run(self, call):
         super().note_run(call)
-        self.ledger.note_run(Run(call.headers["X-Request-Id"], self.name, call.headers["X-Tenant"], time.monotonic()))
+        self.ledger.record_run(Run(call.headers["X-Request-Id"], self.name, call.headers["X-Tenant"], time.monotonic()))
         body = self.seen[-1][3].decode()
         if body.startswith(FATAL):
             self.crash(self, body)
@@ -54,7 +55,7 @@
 
 
 class TimedCloud(Cloud):
-    """Notes when each call came."""
+    """Records the time of each call."""
 
     def entry(self, call, body):
         return (time.monotonic(), *super().entry(call, body))
@@ -68,52 +69,53 @@
         self.store_port, self.cloud_port = free_ports(2)
         self.store, self.cloud = Store(self.store_port), TimedCloud(self.cloud_port)
         self.names = (f"i-{number}" for number in itertools.count())
-        self.replicas, self.doors = {}, {}
+        self.replicas, self.proxies = {}, {}
         self.version = 1
         self.keys = {"alpha": ["alpha-0", "alpha-1"], "beta": ["beta-0", "beta-1"]}
         self.issued = itertools.count(2)
         self.publish()
         for _ in range(replicas):
             self.add_replica()
-        self.store_doors = [Proxy(self.store_port) for _ in range(nodes)]
-        self.nodes = [Node(self, f"front-{number}", door.port, "ab"[number % 2]) for number, door in enumerate(self.store_doors)]
+        self.store_proxies = [Proxy(self.store_port) for _ in range(nodes)]
+        self.nodes = [Node(self, f"front-{number}", proxy.port, "ab"[number % 2]) for number, proxy in enumerate(self.store_proxies)]
         self.stopping = threading.Event()
         self.ids = itertools.count()
-        self.callers = [threading.Thread(target=self.call_on, args=(random.Random(f"{seed} {number}"), number), daemon=True)
+        self.callers = [threading.Thread(target=self.run_caller, args=(random.Random(f"{seed} {number}"), number), daemon=True)
                         for number in range(callers)]
 
-    # What the operator and the replicas write
+    # Writes of the operators and the replicas to the store
 
     def publish(self):
-        """Puts the configuration in force; returns when the store has it."""
+        """Writes the configuration; returns when it is stored."""
         tenants = [{"name": name, "api_keys": keys, "unit": "token_stream", "plain_tokens": 10, "rate_per_s": 0, "burst": 0}
                    for name, keys in self.keys.items()]
         self.store.put("op/config", configuration(self.version, tenants=tenants))
         self.version += 1
 
     def revoke(self, account):
-        """Takes a key away and gives a new one."""
+        """Revokes the oldest API key of an account and issues a new one."""
         key = self.keys[account].pop(0)
         self.keys[account].append(f"{account}-{next(self.issued)}")
         self.publish()
         self.ledger.revoked[key] = time.monotonic()
 
     def add_replica(self):
-        replica = WatchedReplica(free_ports(1)[0], next(self.names), self.ledger, self.crash)
+        replica = RecordedReplica(free_ports(1)[0], next(self.names), self.ledger, self.crash)
         self.replicas[replica.name] = replica
-        self.doors[replica.name] = Proxy(replica.port)
+        self.proxies[replica.name] = Proxy(replica.port)
         self.enter(replica)
 
     def enter(self, replica, state="ready"):
         entry = replica.entry("svc", state=state)
-        entry["address"] = f"127.0.0.1:{self.doors[replica.name].port}"
+        entry["address"] = f"127.0.0.1:{self.proxies[replica.name].port}"
         self.store.put(f"servers/{replica.name}", entry)
 
-    def let_leave(self, name):
-        """A replica announces its leave, serves on for a while, and is gone; another takes its place."""
+    def start_leaving(self, name):
+        """Marks a replica as draining and starts another one. The replica keeps serving for 6 s before it is stopped and its
+        entry is removed."""
         replica = self.replicas.pop(name)
         self.enter(replica, "draining")
-        self.ledger.left[name] = time.monotonic()
+        self.ledger.leaving_since[name] = time.monotonic()
         self.add_replica()
 
         def end():
@@ -125,10 +127,10 @@
         threading.Thread(target=end, daemon=True).start()
 
     def crash(self, replica, body):
-        """A replica ends at once; another takes its place, and its entry lapses."""
+        """Closes a replica's connections at once. Another one replaces it later, and then its entry is removed."""
         if self.replicas.pop(replica.name, None) is None:
             return
-        self.ledger.note_crash(body)
+        self.ledger.record_crash(body)
         with contextlib.suppress(OSError):
             replica.server.socket.shutdown(socket.SHUT_RDWR)
         for connection in list(replica.connections):
@@ -138,9 +140,9 @@
         def replace():
             replica.server.shutdown()
             replica.server.server_close()
-            time.sleep(REPLACED_AFTER)
+            time.sleep(REPLACEMENT_DELAY)
             self.add_replica()
-            time.sleep(ENTRY_LAPSES - REPLACED_AFTER)
+            time.sleep(ENTRY_EXPIRY_DELAY - REPLACEMENT_DELAY)
             self.store.remove(f"servers/{replica.name}")
 
         threading.Thread(target=replace, daemon=True).start()
@@ -148,12 +150,12 @@
     # Processes
 
     def stop_process(self, node, sent):
-        """Ends a node's process by a signal and starts it again; the ledger learns how it ended."""
-        self.note_own_end(node)
+        """Ends a node's process with a signal, records how it ended in the ledger, and starts it again."""
+        self.record_unrequested_end(node)
         node.process.send_signal(sent)
         began = time.monotonic()
         try:
-            code = node.process.wait(LONGEST_STOP)
+            code = node.process.wait(MAX_STOP_SECONDS)
         except subprocess.TimeoutExpired:
             node.process.kill()
             code = node.process.wait()
@@ -161,33 +163,33 @@
         time.sleep(0.2)
         node.start()
 
-    def note_own_end(self, node):
-        """Notes a process that has ended though nobody asked it to."""
+    def record_unrequested_end(self, node):
+        """Records a process that has ended without a signal from the test."""
         if node.process.poll() is not None:
             self.ledger.ends.append(End(node.name, 0, node.process.returncode, 0.0))
 
     # Callers
 
-    def call_on(self, draw, number):
-        """Sends requests over one kept connection until the node's process is gone, then over another's."""
-        place = number
+    def run_caller(self, draw, number):
+        """Sends requests over a keep-alive connection to one node; when it is closed, connects to the next node."""
+        node_index = number
         connection = None
         while not self.stopping.is_set():
-            node = self.nodes[place % len(self.nodes)]
+            node = self.nodes[node_index % len(self.nodes)]
             connection = connection or http.client.HTTPConnection("127.0.0.1", node.front, timeout=9)
             if not self.send(draw, node, connection).keeps_connection:
                 connection.close()
                 connection = None
-                place += 1
+                node_index += 1
             time.sleep(draw.uniform(0, 0.05))
 
     def send(self, draw, node, connection, kind=None, key=None, body=None):
-        """Sends a request and reads its answer; returns what came of it."""
+        """Sends a request and reads its answer; returns the record of both."""
         kind = kind or draw.choice(list(KINDS))
         account = key.split("-")[0] if key else draw.choice(list(self.keys))
         key = key or draw.choice(self.keys[account] + [key for key in self.ledger.revoked if key.startswith(account)][-2:])
-        request = Sent(f"r-{next(self.ids)}", kind, node.name, key, account, time.monotonic())
-        self.ledger.note_sent(request)
+        request = SentRequest(f"r-{next(self.ids)}", kind, node.name, key, account, time.monotonic())
+        self.ledger.record_request(request)
         method, path = KINDS.get(kind, ("POST", "/again/x"))
         try:
             connection.request(method, path, body, headers={"Host": "one.example", "X-Request-Id": request.id, "X-Deadline-Ms": "5000",
@@ -195,15 +197,15 @@
             answer = connection.getresponse()
             body = answer.read()
             request.status = answer.status
-            request.fault = self.fault_of(request, answer, body)
+            request.fault = self.find_fault(request, answer, body)
             request.keeps_connection = not answer.will_close
         except (OSError, http.client.HTTPException) as error:
-            request.said = type(error).__name__
+            request.error = type(error).__name__
         request.ended = time.monotonic()
         return request
 
     @staticmethod
-    def fault_of(request, answer, body):
+    def find_fault(request, answer, body):
         if answer.getheader("X-Request-Id") != request.id:
             return f"the answer is of {answer.getheader('X-Request-Id')}"
         if b'"crashes_replicas"' in body and not request.kind.startswith(FATAL):
@@ -214,10 +216,10 @@
             return "a success without a signature"
         if "stream" in request.kind:
             pieces = [line for line in body.split(b"\n") if line.startswith(b"data: piece")]
-            return "" if pieces == WHOLE else f"whole answer with events {pieces}"
+            return "" if pieces == EXPECTED_EVENTS else f"whole answer with events {pieces}"
         return "" if body.startswith(b'{"by": "i-') else f"a body of nobody: {body[:40]}"
 
-    # The whole
+    # The whole deployment
 
     def start(self):
         for node in self.nodes:
@@ -226,18 +228,18 @@
             caller.start()
 
     def heal(self):
-        for door in (*self.store_doors, *self.doors.values()):
-            door.set("pass")
+        for proxy in (*self.store_proxies, *self.proxies.values()):
+            proxy.set("pass")
         self.store.silent = self.store.busy = self.store.lose_answers = False
         for node in self.nodes:
             if node.process.poll() is None:
                 node.process.send_signal(signal.SIGCONT)
 
     def recover(self):
-        """Lists the nodes that don't serve again once all is healed."""
+        """Lists the nodes that don't serve requests again after all faults have ended."""
         failed = []
         for node in self.nodes:
-            self.note_own_end(node)
+            self.record_unrequested_end(node)
             try:
                 wait_until(node.is_ready, "ready")
             except AssertionError:
@@ -259,8 +261,8 @@
                 node.process.send_signal(signal.SIGCONT)
                 node.process.kill()
             node.process.wait()
-        for door in (*self.store_doors, *self.doors.values()):
-            door.close()
+        for proxy in (*self.store_proxies, *self.proxies.values()):
+            proxy.close()
         for server in (self.store, self.cloud, *self.replicas.values()):
             server.server.shutdown()
             server.server.server_close()
