--- a/tests/random/SettingsEditSimulation.cpp
+++ b/tests/random/SettingsEditSimulation.cpp
@@ -46,9 +46,9 @@
 
     for (auto index = std::size_t { 0 }; index < operators.size(); ++index)
     {
-        auto& editor = operators[index];
-        editor.name = "operator-" + std::to_string (index + 1);
-        time.after (time.drawTime (0ms, 2s), [this, &editor] { startEdit (editor); });
+        auto& person = operators[index];
+        person.name = "operator-" + std::to_string (index + 1);
+        time.after (time.drawTime (0ms, 2s), [this, &person] { startEdit (person); });
     }
 
     for (auto outage = 0; outage < 2; ++outage)
@@ -71,48 +71,48 @@
         reportedResults, [] (const auto& entry) { return entry.second == EditResult::Kind::stored; }));
 }
 
-auto SettingsEditSimulation::startEdit (Operator& editor) -> void
+auto SettingsEditSimulation::startEdit (Operator& person) -> void
 {
-    if (editor.edits == editsPerOperator)
+    if (person.edits == editsPerOperator)
         return;
 
-    ++editor.edits;
-    editor.attempts = 0;
-    editor.editId = editor.name + "-" + std::to_string (editor.edits);
-    editor.knownRevision = store.read (treeStoreKey).version;
-    submitEdit (editor);
+    ++person.edits;
+    person.attempts = 0;
+    person.editId = person.name + "-" + std::to_string (person.edits);
+    person.knownRevision = store.read (treeStoreKey).version;
+    submitEdit (person);
 }
 
-auto SettingsEditSimulation::submitEdit (Operator& editor) -> void
+auto SettingsEditSimulation::submitEdit (Operator& person) -> void
 {
-    ++editor.attempts;
+    ++person.attempts;
     EditRequest request;
-    request.id = editor.editId;
-    request.author = editor.name;
+    request.id = person.editId;
+    request.author = person.name;
     request.edit.path = { "accounts", "city", "policy", "weight" };
-    request.edit.value = static_cast<std::int64_t> (editor.edits);
-    request.knownRevision = editor.knownRevision;
-    editor.procedure.emplace (std::move (request));
-    time.after (callDuration, [this, &editor] { step (editor); });
+    request.edit.value = static_cast<std::int64_t> (person.edits);
+    request.knownRevision = person.knownRevision;
+    person.procedure.emplace (std::move (request));
+    time.after (callDuration, [this, &person] { step (person); });
 }
 
-auto SettingsEditSimulation::step (Operator& editor) -> void
+auto SettingsEditSimulation::step (Operator& person) -> void
 {
-    const auto call = editor.procedure->next();
+    const auto call = person.procedure->next();
 
     if (! call)
     {
-        finish (editor, *editor.procedure->result());
+        finish (person, *person.procedure->result());
         return;
     }
 
     // The response arrives some time after the call takes effect, so that the calls of several operators interleave.
     const auto answer = makeCall (*call);
     time.after (time.drawTime (callDuration, callDuration * 20),
-                [this, &editor, answer]
+                [this, &person, answer]
                 {
-                    editor.procedure->take (answer);
-                    step (editor);
+                    person.procedure->take (answer);
+                    step (person);
                 });
 }
 
@@ -196,19 +196,19 @@
     heads.emplace_back (tree->editId, revision);
 }
 
-auto SettingsEditSimulation::finish (Operator& editor, const EditResult& result) -> void
+auto SettingsEditSimulation::finish (Operator& person, const EditResult& result) -> void
 {
-    log.push_back (editor.editId + " told " + toString (result.kind));
-    reportedResults[editor.editId] = result.kind;
-    reportedRevisions[editor.editId] = result.tree.revision;
+    log.push_back (person.editId + " told " + toString (result.kind));
+    reportedResults[person.editId] = result.kind;
+    reportedRevisions[person.editId] = result.tree.revision;
 
     const auto isOpen =
         result.kind == EditResult::Kind::unknown || result.kind == EditResult::Kind::unavailable;
 
-    if (isOpen && editor.attempts < maxAttempts)
-        time.after (time.drawTime (100ms, 5s), [this, &editor] { submitEdit (editor); });
+    if (isOpen && person.attempts < maxAttempts)
+        time.after (time.drawTime (100ms, 5s), [this, &person] { submitEdit (person); });
     else
-        time.after (time.drawTime (10ms, 5s), [this, &editor] { startEdit (editor); });
+        time.after (time.drawTime (10ms, 5s), [this, &person] { startEdit (person); });
 }
 
 auto SettingsEditSimulation::checkReportedResults() const -> void
--- a/tests/random/SettingsEditSimulation.h
+++ b/tests/random/SettingsEditSimulation.h
@@ -40,15 +40,15 @@
         std::optional<EditProcedure> procedure;
     };
 
-    auto startEdit (Operator& editor) -> void;
-    auto submitEdit (Operator& editor) -> void;
-    auto step (Operator& editor) -> void;
+    auto startEdit (Operator& person) -> void;
+    auto submitEdit (Operator& person) -> void;
+    auto step (Operator& person) -> void;
     auto makeCall (const StoreCall& call) -> StoreAnswer;
     auto read (const std::string& key) -> StoreAnswer;
     auto write (const StoreCall& call) -> StoreAnswer;
     auto apply (const StoreCall& call) -> std::optional<std::uint64_t>;
     auto recordHead (const std::string& text, std::uint64_t revision) -> void;
-    auto finish (Operator& editor, const EditResult& result) -> void;
+    auto finish (Operator& person, const EditResult& result) -> void;
     auto checkReportedResults() const -> void;
 
     VirtualTime time;
