--- a/modules/snowrudder_admin/spread/AcceptRule.h
+++ b/modules/snowrudder_admin/spread/AcceptRule.h
@@ -7,18 +7,19 @@
 namespace snowrudder
 {
 
-/** What is known of one router's settings. */
-struct HeldRevision
+/** The settings revision that a router holds. */
+struct RouterRevision
 {
     std::string failureDomain;
-    /** 0 where it did not answer. */
+    /** 0 if the router did not respond. */
     std::uint64_t revision = 0;
 };
 
-/** Says whether a stored revision may be called accepted: two routers in two failure domains hold it, or, in a fleet of
-    one domain or one router, as many as there can be. From there it reaches every router without the platform's service,
-    and neither the accepting process nor a whole failure domain can take it along (docs/design/settings.md).
+/** @returns whether a stored revision counts as accepted: at least two routers, in at least two failure domains, hold
+    it. In a fleet with only one router, or routers in only one failure domain, one of these is enough. An accepted
+    revision reaches all routers without the platform's service, and is not lost if the administration process or a
+    whole failure domain fails (docs/design/settings.md).
 */
-auto isAccepted (std::span<const HeldRevision> routers, std::uint64_t revision) -> bool;
+auto isAccepted (std::span<const RouterRevision> routers, std::uint64_t revision) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_admin/spread/TreeSpread.cpp
+++ b/modules/snowrudder_admin/spread/TreeSpread.cpp
@@ -6,75 +6,80 @@
 namespace
 {
 
-constexpr auto answerTime = 1s;
-constexpr auto pauseBetween = 300ms;
+constexpr auto responseTimeout = 1s;
+constexpr auto retryInterval = 300ms;
 
 auto callRouter (AdminState& state, const schema::Peer& router, std::string_view target, std::string body)
-    -> Task<SimpleAnswer>
+    -> Task<SimpleResponse>
 {
-    const CallTimeouts timeouts { answerTime, answerTime, answerTime };
+    const CallTimeouts timeouts { responseTimeout, responseTimeout, responseTimeout };
     auto request = makeRequest (http::verb::post, target, std::move (body));
     signRequest (state.settings.node_secret(), state.settings.node().name(), request);
     return callOnce (state.pool, parseEndpoint (router.endpoint()), std::move (request), timeouts);
 }
 
-auto giveTree (AdminState& state, const schema::Peer& router, const std::string& message, HeldRevision& held)
-    -> Task<void>
+auto sendTree (AdminState& state,
+               const schema::Peer& router,
+               const std::string& message,
+               RouterRevision& routerRevision) -> Task<void>
 {
-    const auto answer = co_await callRouter (state, router, treeTarget, message);
-    schema::TreeExchange theirs;
+    const auto response = co_await callRouter (state, router, treeTarget, message);
+    schema::TreeExchange reply;
 
-    if (answer.isGood() && theirs.ParseFromString (answer.body))
-        held.revision = theirs.revision();
+    if (response.hasSucceeded() && reply.ParseFromString (response.body))
+        routerRevision.revision = reply.revision();
 }
 
-auto askRouter (AdminState& state, const schema::Peer& router, RouterAnswer& answered) -> Task<void>
+auto queryRouter (AdminState& state, const schema::Peer& router, RouterStatusResponse& statusResponse)
+    -> Task<void>
 {
-    const auto answer = co_await callRouter (state, router, statusTarget, "?");
-    answered.reached = answer.isGood() && answered.status.ParseFromString (answer.body);
+    const auto response = co_await callRouter (state, router, statusTarget, "?");
+    statusResponse.reached = response.hasSucceeded() && statusResponse.status.ParseFromString (response.body);
 }
 
 } // namespace
 
-auto spreadRevision (AdminState& state, const StoredTree& tree, Duration longest)
-    -> Task<std::vector<HeldRevision>>
+auto distributeRevision (AdminState& state, const StoredTree& tree, Duration timeout)
+    -> Task<std::vector<RouterRevision>>
 {
     schema::TreeExchange message;
     message.set_revision (tree.revision);
     message.set_text (tree.text);
     const auto text = message.SerializeAsString();
-    std::vector<HeldRevision> held;
+    std::vector<RouterRevision> routerRevisions;
 
     for (const auto& router : state.settings.routers())
-        held.push_back ({ router.failure_domain(), 0 });
+        routerRevisions.push_back ({ router.failure_domain(), 0 });
 
-    const auto end = SteadyClock::now() + longest;
+    const auto deadline = SteadyClock::now() + timeout;
 
     for (;;)
     {
-        const auto giveOne = [&] (std::size_t index)
-        { return giveTree (state, state.settings.routers (static_cast<int> (index)), text, held[index]); };
-        co_await runAll (state.loop, held.size(), giveOne);
+        const auto sendOne = [&] (std::size_t index) {
+            return sendTree (state, state.settings.routers (static_cast<int> (index)), text,
+                             routerRevisions[index]);
+        };
+        co_await runAll (state.loop, routerRevisions.size(), sendOne);
 
-        if (isAccepted (held, tree.revision) || SteadyClock::now() >= end)
-            co_return held;
+        if (isAccepted (routerRevisions, tree.revision) || SteadyClock::now() >= deadline)
+            co_return routerRevisions;
 
-        asio::steady_timer timer (state.loop, pauseBetween);
+        asio::steady_timer timer (state.loop, retryInterval);
         co_await timer.async_wait (asTuple);
     }
 }
 
-auto askRouters (AdminState& state) -> Task<std::vector<RouterAnswer>>
+auto queryRouters (AdminState& state) -> Task<std::vector<RouterStatusResponse>>
 {
-    std::vector<RouterAnswer> answers;
+    std::vector<RouterStatusResponse> responses;
 
     for (const auto& router : state.settings.routers())
-        answers.push_back ({ router.name(), router.failure_domain(), false, {} });
+        responses.push_back ({ router.name(), router.failure_domain(), false, {} });
 
-    const auto askOne = [&] (std::size_t index)
-    { return askRouter (state, state.settings.routers (static_cast<int> (index)), answers[index]); };
-    co_await runAll (state.loop, answers.size(), askOne);
-    co_return answers;
+    const auto queryOne = [&] (std::size_t index)
+    { return queryRouter (state, state.settings.routers (static_cast<int> (index)), responses[index]); };
+    co_await runAll (state.loop, responses.size(), queryOne);
+    co_return responses;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_core/random/Jitter.h
+++ b/modules/snowrudder_core/random/Jitter.h
@@ -7,17 +7,17 @@
 namespace snowrudder
 {
 
-/** @returns a random number from 0 to 1. */
-auto drawJitter() -> double;
+/** @returns a uniformly distributed random number, at least 0 and less than 1. */
+auto randomFraction() -> double;
 
-/** @returns a random number of 64 bits. */
-auto drawNumber() -> std::uint64_t;
+/** @returns a random 64-bit number. */
+auto randomNumber() -> std::uint64_t;
 
-/** @returns a pause of half to one and a half times the given one, so that nodes don't come back all at once. */
+/** @returns the pause multiplied by a random factor from 0.5 to 1.5, so that nodes don't retry simultaneously. */
 inline auto jittered (Duration pause) -> Duration
 {
-    constexpr auto least = 0.5;
-    return std::chrono::duration_cast<Duration> (pause * (least + drawJitter()));
+    constexpr auto minFactor = 0.5;
+    return std::chrono::duration_cast<Duration> (pause * (minFactor + randomFraction()));
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_ctl/command/AdminClient.cpp
+++ b/modules/snowrudder_ctl/command/AdminClient.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/** Longer than the API waits for routers to hold an edit. */
-constexpr auto answerTime = 20s;
-constexpr auto connectTime = 2s;
+/** Must exceed the time for which the API waits until an edit is accepted. */
+constexpr auto responseTimeout = 20s;
+constexpr auto connectTimeout = 2s;
 
 } // namespace
 
@@ -24,7 +24,7 @@
 auto AdminClient::call (http::verb method,
                         const std::string& target,
                         const std::string& body,
-                        const std::vector<std::pair<std::string, std::string>>& headers) -> AdminAnswer
+                        const std::vector<std::pair<std::string, std::string>>& headers) -> AdminResponse
 {
     auto request = makeRequest (method, target, body);
     request.set (http::field::authorization, "Bearer " + operatorKey);
@@ -34,22 +34,23 @@
 
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
-    SimpleAnswer got;
+    SimpleResponse httpResponse;
 
     asio::co_spawn (
         loop,
         [&]() -> Task<void>
         {
-            const CallTimeouts timeouts { connectTime, answerTime, answerTime };
-            got = co_await callOnce (pool, endpoint, std::move (request), timeouts);
+            const CallTimeouts timeouts { connectTimeout, responseTimeout, responseTimeout };
+            httpResponse = co_await callOnce (pool, endpoint, std::move (request), timeouts);
             loop.stop();
         },
         asio::detached);
     loop.run();
 
-    boost::system::error_code unreadable;
-    AdminAnswer answer { got.error, got.status, json::parse (got.body, unreadable) };
-    return answer;
+    boost::system::error_code parseError;
+    AdminResponse response { httpResponse.error, httpResponse.status,
+                             json::parse (httpResponse.body, parseError) };
+    return response;
 }
 
 auto readKeyFile (const std::string& file) -> std::string
--- a/modules/snowrudder_ctl/command/AdminClient.h
+++ b/modules/snowrudder_ctl/command/AdminClient.h
@@ -11,8 +11,8 @@
 namespace snowrudder
 {
 
-/** An answer of the administration API. */
-struct AdminAnswer
+/** A response of the administration API. */
+struct AdminResponse
 {
     std::error_code error;
     unsigned status = 0;
@@ -21,7 +21,7 @@
     [[nodiscard]] auto isGood() const -> bool { return ! error && status >= 200 && status < 300; }
 };
 
-/** Calls one administration API, one call at a time, and waits for each. */
+/** Blocking client of an administration API. */
 class AdminClient
 {
 public:
@@ -32,14 +32,14 @@
     auto call (http::verb method,
                const std::string& target,
                const std::string& body = {},
-               const std::vector<std::pair<std::string, std::string>>& headers = {}) -> AdminAnswer;
+               const std::vector<std::pair<std::string, std::string>>& headers = {}) -> AdminResponse;
 
 private:
     tcp::endpoint endpoint;
     std::string operatorKey;
 };
 
-/** @returns the key in a file's first line; empty where the file can't be read. */
+/** @returns the key in the first line of a file; empty if the file can't be read. */
 auto readKeyFile (const std::string& file) -> std::string;
 
 } // namespace snowrudder
--- a/modules/snowrudder_load/client/LoadRun.cpp
+++ b/modules/snowrudder_load/client/LoadRun.cpp
@@ -16,16 +16,16 @@
 namespace
 {
 
-auto produce (CallerThread& thread, LoadResult& result) -> Task<void>
+auto sendRequests (CallerThread& thread, LoadResult& result) -> Task<void>
 {
     asio::steady_timer timer (thread.loop);
     const auto end = SteadyClock::now() + thread.plan.length;
     auto next = SteadyClock::now();
 
-    // Open loop: a request's time does not depend on the answers before it.
+    // Open loop: the time of a request does not depend on earlier answers.
     for (;;)
     {
-        next += thread.source.nextGap();
+        next += thread.source.nextInterval();
 
         if (next >= end)
             break;
@@ -33,15 +33,15 @@
         timer.expires_at (next);
         co_await timer.async_wait (asTuple);
 
-        const auto isDirect = thread.plan.compareDirect && thread.made % 2 == 1;
-        ++thread.made;
+        const auto isDirect = thread.plan.compareDirect && thread.startedRequests % 2 == 1;
+        ++thread.startedRequests;
         asio::co_spawn (thread.loop, makeOneRequest (thread, result, thread.source.next(), isDirect),
                         asio::detached);
     }
 
-    const auto patienceEnd = end + thread.plan.patience;
+    const auto drainEnd = end + thread.plan.drainTimeout;
 
-    while (thread.open > 0 && SteadyClock::now() < patienceEnd)
+    while (thread.openRequests > 0 && SteadyClock::now() < drainEnd)
     {
         timer.expires_after (20ms);
         co_await timer.async_wait (asTuple);
@@ -50,21 +50,21 @@
     thread.loop.stop();
 }
 
-/** Makes one call on a loop of its own and waits for it. */
-auto askNow (const tcp::endpoint& endpoint, std::string_view target) -> SimpleAnswer
+/** Makes one call on an event loop of its own and blocks until it has completed. */
+auto callBlocking (const tcp::endpoint& endpoint, std::string_view target) -> SimpleResponse
 {
     asio::io_context loop (1);
     ConnectionPool pool (loop.get_executor());
-    SimpleAnswer answer;
+    SimpleResponse answer;
     CallTimeouts timeouts { 1s, 5s, 5s };
-    constexpr auto largestStats = std::size_t { 256 * 1024 * 1024 };
+    constexpr auto maxStatsBytes = std::size_t { 256 * 1024 * 1024 };
 
     asio::co_spawn (
         loop,
         [&]() -> Task<void>
         {
             answer = co_await callOnce (pool, endpoint, makeRequest (http::verb::get, target), timeouts,
-                                        largestStats);
+                                        maxStatsBytes);
         },
         asio::detached);
     loop.run();
@@ -73,10 +73,10 @@
 
 auto listVms (const LoadPlan& plan) -> std::vector<Vm>
 {
-    const auto answer = askNow (plan.platform, "/vms");
+    const auto answer = callBlocking (plan.platform, "/vms");
     auto skipped = std::size_t { 0 };
-    return answer.isGood() ? parseVmList (answer.body, skipped).value_or (std::vector<Vm> {})
-                           : std::vector<Vm> {};
+    return answer.hasSucceeded() ? parseVmList (answer.body, skipped).value_or (std::vector<Vm> {})
+                                 : std::vector<Vm> {};
 }
 
 auto addStats (const std::string& text, UpstreamCounts& counts) -> void
@@ -96,7 +96,7 @@
             counts.runsByKey[std::string (key)] += count.to_number<std::uint64_t>();
 }
 
-/** Finds the upstreams for requests that are made directly. */
+/** Collects the upstreams for requests that bypass the routers. */
 auto findUpstreams (CallerThread& thread) -> void
 {
     for (const auto& vm : listVms (thread.plan))
@@ -111,7 +111,7 @@
 
 auto runLoad (const schema::LoadSettings& workload, const LoadPlan& plan, LoadResult& result) -> void
 {
-    const auto begun = SteadyClock::now();
+    const auto startTime = SteadyClock::now();
     std::deque<CallerThread> callers;
     std::vector<std::thread> threads;
     threads.reserve (plan.threads);
@@ -123,7 +123,7 @@
         if (plan.compareDirect)
             findUpstreams (caller);
 
-        asio::co_spawn (caller.loop, produce (caller, result), asio::detached);
+        asio::co_spawn (caller.loop, sendRequests (caller, result), asio::detached);
     }
 
     for (auto& caller : callers)
@@ -132,15 +132,16 @@
     for (auto& thread : threads)
         thread.join();
 
-    // Requests that are not waited for any longer refer to what their callers are destroyed with.
+    // Coroutines of requests that are still open refer to members of their CallerThread, so they must end before it is
+    // destroyed.
     for (auto& caller : callers)
-        caller.loop.endWaiting();
+        caller.loop.destroyWaitingCoroutines();
 
     for (const auto& caller : callers)
-        if (caller.open > 0)
-            LogLine ("not_waited_for").with ("requests", caller.open).warning();
+        if (caller.openRequests > 0)
+            LogLine ("not_waited_for").with ("requests", caller.openRequests).warning();
 
-    result.elapsed = std::min (SteadyClock::now() - begun, plan.length);
+    result.elapsed = std::min (SteadyClock::now() - startTime, plan.length);
 }
 
 auto addUpstreamCounts (const LoadPlan& plan, UpstreamCounts& into) -> bool
@@ -156,7 +157,7 @@
     }
 
     for (const auto& endpoint : into.endpoints)
-        if (const auto answer = askNow (parseEndpoint (endpoint), "/stats"); answer.isGood())
+        if (const auto answer = callBlocking (parseEndpoint (endpoint), "/stats"); answer.hasSucceeded())
             addStats (answer.body, into);
 
     return ! vms.empty();
@@ -164,11 +165,11 @@
 
 auto countsBetween (const UpstreamCounts& before, UpstreamCounts after) -> UpstreamCounts
 {
-    const auto less = [] (std::uint64_t& later, std::uint64_t earlier)
+    const auto subtract = [] (std::uint64_t& later, std::uint64_t earlier)
     { later -= std::min (later, earlier); };
-    less (after.computedPromptTokens, before.computedPromptTokens);
-    less (after.cachedPromptTokens, before.cachedPromptTokens);
-    less (after.generatedTokens, before.generatedTokens);
+    subtract (after.computedPromptTokens, before.computedPromptTokens);
+    subtract (after.cachedPromptTokens, before.cachedPromptTokens);
+    subtract (after.generatedTokens, before.generatedTokens);
     return after;
 }
 
--- a/modules/snowrudder_load/workload/RequestSource.cpp
+++ b/modules/snowrudder_load/workload/RequestSource.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/** @returns words that follow from a seed. */
-auto words (std::uint64_t seed, std::uint32_t count) -> std::string
+/** @returns pseudo-random words that are determined by the seed. */
+auto makeWords (std::uint64_t seed, std::uint32_t count) -> std::string
 {
     std::string text;
 
@@ -44,7 +44,7 @@
     classes = std::discrete_distribution<std::size_t> (rates.begin(), rates.end());
 }
 
-auto RequestSource::nextGap() -> Duration
+auto RequestSource::nextInterval() -> Duration
 {
     const auto seconds = std::exponential_distribution<double> (totalRate) (random);
     return std::chrono::duration_cast<Duration> (std::chrono::duration<double> (seconds));
@@ -69,14 +69,15 @@
 {
     const auto& kind = *request.kind;
 
-    // Shared parts follow from the workload's seed, so that all threads share them.
+    // The shared parts are derived from the workload's seed, so that they are the same in all threads.
     const auto classSeed = hashBytes (kind.name(), settings.seed());
     const auto document = drawDocument (kind.documents());
-    const auto system = words (classSeed, std::max (1U, kind.shared_words()));
-    auto user =
-        kind.documents() > 0 ? words (combineHashes (classSeed, document + 1), kind.document_words()) : "";
+    const auto system = makeWords (classSeed, std::max (1U, kind.shared_words()));
+    auto user = kind.documents() > 0
+                    ? makeWords (combineHashes (classSeed, document + 1), kind.document_words())
+                    : "";
     user += " ";
-    user += words (combineHashes (seed, planned), std::max (1U, kind.question_words()));
+    user += makeWords (combineHashes (seed, planned), std::max (1U, kind.question_words()));
 
     json::object body;
     body["model"] = kind.model();
@@ -93,12 +94,12 @@
     messages.emplace_back (makeObject ("role", "user", "content", user));
 
     const auto prompt = promptText (body);
-    request.expected = expectedAnswer (answerSeed (kind.model(), prompt), kind.max_tokens());
+    request.expectedText = expectedAnswer (answerSeed (kind.model(), prompt), kind.max_tokens());
 
     const auto tokens = wordHashes (prompt);
     request.promptWords = static_cast<std::uint32_t> (tokens.size());
 
-    // Another account's cache is another cache.
+    // Client accounts don't share cached blocks, so the hashes are salted with the account's key.
     request.promptBlocks = makeChain (tokens, engineBlockTokens, hashBytes (kind.key())).blocks;
     request.body = json::serialize (body);
 }
@@ -116,7 +117,7 @@
     if (count == 0)
         return 0;
 
-    // Few documents are asked about often: rank r has a weight of 1 / (r + 1).
+    // A few documents are used most often: the document of rank r has a weight of 1 / (r + 1).
     const auto uniform = std::uniform_real_distribution<double> (0.0, 1.0) (random);
     const auto rank = std::pow (static_cast<double> (count) + 1.0, uniform) - 1.0;
     return std::min (count - 1, static_cast<std::uint32_t> (rank));
--- a/modules/snowrudder_net/client/SimpleCall.h
+++ b/modules/snowrudder_net/client/SimpleCall.h
@@ -7,29 +7,29 @@
 namespace snowrudder
 {
 
-/** A whole answer, or why there is none. */
-struct SimpleAnswer
+/** A whole response, or the error that prevented it. */
+struct SimpleResponse
 {
     std::error_code error;
-    /** How far the call came; tells whether it may have taken effect. */
-    CallStage stage = CallStage::planned;
+    /** The call's progress, which determines whether the call may have taken effect. */
+    CallStage stage = CallStage::notSent;
     unsigned status = 0;
     std::string body;
 
-    [[nodiscard]] auto isGood() const -> bool { return ! error && status >= 200 && status < 300; }
+    [[nodiscard]] auto hasSucceeded() const -> bool { return ! error && status >= 200 && status < 300; }
 };
 
-/** Makes one call and reads its whole answer.
+/** Makes one call and reads the whole response.
 
-    @param limit  the longest body taken
+    @param limit  the maximum size of the response body, in bytes
 */
 auto callOnce (ConnectionPool& pool,
                tcp::endpoint endpoint,
                HttpRequest request,
                CallTimeouts timeouts,
-               std::size_t limit = 8 * 1024 * 1024) -> Task<SimpleAnswer>;
+               std::size_t limit = 8 * 1024 * 1024) -> Task<SimpleResponse>;
 
-/** @returns a request with a body, ready to send. */
+/** @returns a request that is ready to send. A body is sent as `application/json`. */
 auto makeRequest (http::verb method, std::string_view target, std::string body = {}) -> HttpRequest;
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/concurrency/Watchdog.h
+++ b/modules/snowrudder_net/concurrency/Watchdog.h
@@ -11,11 +11,12 @@
 namespace snowrudder
 {
 
-/** Ends reads and writes that take too long, for all sockets of one event loop. A deadline is a plain number that one
-    timer looks over: setting one costs next to nothing, where a timer for each operation costs more than the
-    operation's own bookkeeping (docs/design/router-cost.md). A deadline is kept to within two intervals.
+/** Cancels reads and writes that exceed their deadline, for all sockets of one event loop. One periodic timer checks
+    all deadlines, so setting one only stores a point in time, whereas a timer per operation costs more than the
+    operation's own bookkeeping (docs/design/router-cost.md). Operations are cancelled at most two intervals after
+    their deadline.
 
-    Belongs to its loop's thread.
+    Used on the loop's thread only.
 */
 class Watchdog
 {
@@ -29,7 +30,7 @@
     class Watch;
 
 private:
-    /** One watched socket. */
+    /** A watched socket and its deadline. */
     struct Entry
     {
         tcp::socket* socket = nullptr;
@@ -37,13 +38,13 @@
         bool expired = false;
     };
 
-    /** All watched sockets, and the timer that runs while one of them has a deadline. */
+    /** All watched sockets, and the timer that runs while any of them has a deadline. */
     struct Entries : std::enable_shared_from_this<Entries>
     {
         explicit Entries (const asio::any_io_executor& executor) : timer (executor) {}
 
-        auto wake() -> void;
-        auto look() -> void;
+        auto startTimer() -> void;
+        auto cancelExpired() -> void;
 
         std::list<Entry> list;
         asio::steady_timer timer;
@@ -53,38 +54,38 @@
     std::shared_ptr<Entries> entries;
 };
 
-/** Watches one socket for as long as it lives. */
+/** Watches one socket for the lifetime of this object. */
 class Watchdog::Watch
 {
 public:
     Watch (Watchdog& watchdog, tcp::socket& socket)
         : entries (watchdog.entries),
-          place (entries->list.insert (entries->list.end(), Entry { &socket, {}, false }))
+          position (entries->list.insert (entries->list.end(), Entry { &socket, {}, false }))
     {
     }
 
-    ~Watch() { entries->list.erase (place); }
+    ~Watch() { entries->list.erase (position); }
 
     Watch (const Watch&) = delete;
     auto operator= (const Watch&) -> Watch& = delete;
 
-    /** Sets the time that the next operations may take, all together. */
+    /** Sets the time limit for the operations that follow, in total. */
     auto start (Duration time) -> void
     {
-        place->deadline = SteadyClock::now() + time;
-        place->expired = false;
-        entries->wake();
+        position->deadline = SteadyClock::now() + time;
+        position->expired = false;
+        entries->startTimer();
     }
 
-    /** Lets operations take any time. */
-    auto stop() -> void { place->deadline.reset(); }
+    /** Removes the time limit. */
+    auto stop() -> void { position->deadline.reset(); }
 
-    /** @returns whether the time ran out: the operation in progress was cancelled. */
-    [[nodiscard]] auto hasExpired() const -> bool { return place->expired; }
+    /** @returns whether the deadline has expired, which cancels the operation in progress. */
+    [[nodiscard]] auto hasExpired() const -> bool { return position->expired; }
 
 private:
     std::shared_ptr<Entries> entries;
-    std::list<Entry>::iterator place;
+    std::list<Entry>::iterator position;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_net/server/HttpServer.cpp
+++ b/modules/snowrudder_net/server/HttpServer.cpp
@@ -10,8 +10,8 @@
 
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-/** Why a request could not be read, or nothing when the connection just ended. */
-auto kindOfReadError (boost::system::error_code error) -> std::optional<ErrorKind>
+/** @returns why a request could not be read, or nothing when the connection was closed. */
+auto errorKindOf (boost::system::error_code error) -> std::optional<ErrorKind>
 {
     if (error == http::error::end_of_stream || error == asio::error::connection_reset ||
         error == asio::error::operation_aborted || error == asio::error::eof)
@@ -74,7 +74,7 @@
 
     draining = true;
 
-    // Closing a socket resets the connections that wait in its queue, so they are taken first.
+    // Closing the listening socket resets the connections in its queue, so they are accepted first.
     boost::system::error_code error;
     acceptor.non_blocking (true, error);
 
@@ -94,7 +94,7 @@
 
     acceptor.close (error);
 
-    for (auto* connection : resting)
+    for (auto* connection : idleConnections)
         connection->cancel (error);
 }
 
@@ -111,7 +111,7 @@
 
         if (error)
         {
-            // Out of descriptors: wait for some to be closed rather than spin.
+            // Most likely out of file descriptors: wait for some to be closed instead of spinning.
             asio::steady_timer pause (loop, 10ms);
             co_await pause.async_wait (asTuple);
             continue;
@@ -147,26 +147,26 @@
             co_return;
         }
 
-        if (std::holds_alternative<ConnectionEnd> (received))
+        if (std::holds_alternative<ConnectionClosed> (received))
             co_return;
 
         Exchange exchange (stream, deadline, std::get<HttpRequest> (std::move (received)), limits);
 
         if (draining)
-            exchange.closeAfter();
+            exchange.closeAfterResponse();
 
         busy.fetch_add (1);
         co_await handler (exchange);
         exchange.stopWatching();
         busy.fetch_sub (1);
 
-        if (! exchange.keepsAlive())
+        if (! exchange.isKeepAlive())
             co_return;
     }
 }
 
 auto HttpServer::readRequest (tcp::socket& stream, beast::flat_buffer& buffer, Watchdog::Watch& deadline)
-    -> Task<Received>
+    -> Task<ReadResult>
 {
     http::request_parser<http::string_body> parser;
     parser.header_limit (limits.headerBytes);
@@ -175,13 +175,13 @@
     if (buffer.size() == 0)
     {
         deadline.start (limits.idleTimeout);
-        resting.insert (&stream);
+        idleConnections.insert (&stream);
         const auto [waitError] = co_await stream.async_wait (tcp::socket::wait_read, asTuple);
 
-        resting.erase (&stream);
+        idleConnections.erase (&stream);
 
         if (waitError)
-            co_return ConnectionEnd {};
+            co_return ConnectionClosed {};
     }
 
     deadline.start (limits.headerTimeout);
@@ -191,12 +191,13 @@
 
     if (headerError)
     {
-        // A quiet connection just ends; a half-sent header is told.
+        // On timeout, a connection without any byte of a request is closed silently; an incomplete header gets an
+        // error.
         if (deadline.hasExpired() && parser.got_some())
             co_return ErrorKind::callerTimeout;
 
-        const auto kind = kindOfReadError (headerError);
-        co_return kind ? Received (*kind) : Received (ConnectionEnd {});
+        const auto kind = errorKindOf (headerError);
+        co_return kind ? ReadResult (*kind) : ReadResult (ConnectionClosed {});
     }
 
     if (beast::iequals (parser.get()[http::field::expect], "100-continue"))
@@ -211,8 +212,8 @@
     if (bodyError)
     {
         const auto kind =
-            deadline.hasExpired() ? std::optional (ErrorKind::callerTimeout) : kindOfReadError (bodyError);
-        co_return kind ? Received (*kind) : Received (ConnectionEnd {});
+            deadline.hasExpired() ? std::optional (ErrorKind::callerTimeout) : errorKindOf (bodyError);
+        co_return kind ? ReadResult (*kind) : ReadResult (ConnectionClosed {});
     }
 
     co_return parser.release();
@@ -228,7 +229,7 @@
     deadline.start (limits.writeTimeout);
     co_await http::async_write (stream, response, asTuple);
 
-    // The caller may still be sending: closing at once would reset the connection before it has read the answer.
+    // The caller may still be sending: closing now would reset the connection before it has read the response.
     boost::system::error_code ignored;
     stream.shutdown (tcp::socket::shutdown_send, ignored);
     deadline.start (1s);
--- a/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
+++ b/modules/snowrudder_requests/attempt/AttemptOutcome.cpp
@@ -5,21 +5,21 @@
 
 auto ranAfter (const AttemptOutcome& outcome) -> Ran
 {
-    if (outcome.stage == CallStage::planned || outcome.cause == FailureCause::refused ||
+    if (outcome.stage == CallStage::notSent || outcome.cause == FailureCause::refused ||
         outcome.cause == FailureCause::misdirected)
         return Ran::no;
 
     return Ran::unknown;
 }
 
-auto metNobody (const AttemptOutcome& outcome) -> bool
+auto metStaleEntry (const AttemptOutcome& outcome) -> bool
 {
     return outcome.cause == FailureCause::connectFailed || outcome.cause == FailureCause::misdirected;
 }
 
-auto mayShowCrash (const AttemptOutcome& outcome) -> bool
+auto mayIndicateCrash (const AttemptOutcome& outcome) -> bool
 {
-    const auto mayHaveBegun = outcome.stage == CallStage::sent || outcome.stage == CallStage::answering;
+    const auto mayHaveBegun = outcome.stage == CallStage::sent || outcome.stage == CallStage::receiving;
     return mayHaveBegun && outcome.cause == FailureCause::cut;
 }
 
--- a/modules/snowrudder_requests/crashes/CrashEvidence.cpp
+++ b/modules/snowrudder_requests/crashes/CrashEvidence.cpp
@@ -8,8 +8,10 @@
 namespace
 {
 
-/** Each hop adds its delay to a time that is told as an age: what moves by less is the same word again. */
-constexpr auto tellingError = Duration (1s);
+/** Times are sent as ages, and each hop adds its delay to them: a success that is later by less than this is the same
+    one.
+*/
+constexpr auto ageTolerance = Duration (1s);
 
 auto addCrash (std::vector<ReplicaCrash>& crashes, const ReplicaCrash& crash) -> bool
 {
@@ -25,49 +27,49 @@
 
     const auto place = std::ranges::upper_bound (crashes, crash.at, {}, &ReplicaCrash::at);
 
-    if (place == crashes.begin() && crashes.size() >= mostCrashesKept)
+    if (place == crashes.begin() && crashes.size() >= maxCrashesKept)
         return false;
 
     crashes.insert (place, crash);
 
-    if (crashes.size() > mostCrashesKept)
+    if (crashes.size() > maxCrashesKept)
         crashes.erase (crashes.begin());
 
     return true;
 }
 
-auto isAmong (const std::vector<ReplicaCrash>& ends, const ReplicaCrash& end) -> bool
+auto containsCrash (const std::vector<ReplicaCrash>& ends, const ReplicaCrash& end) -> bool
 {
     return std::ranges::any_of (ends, [&end] (const auto& known) { return isSameCrash (known, end); });
 }
 
 } // namespace
 
-auto noteOpenEnd (CrashEvidence& evidence, const ReplicaCrash& end) -> bool
+auto recordUnconfirmedCrash (CrashEvidence& evidence, const ReplicaCrash& end) -> bool
 {
-    if (isAmong (evidence.crashes, end) || isAmong (evidence.openEnds, end))
+    if (containsCrash (evidence.crashes, end) || containsCrash (evidence.unconfirmedCrashes, end))
         return false;
 
-    evidence.openEnds.push_back (end);
-    std::ranges::sort (evidence.openEnds, {}, &ReplicaCrash::at);
+    evidence.unconfirmedCrashes.push_back (end);
+    std::ranges::sort (evidence.unconfirmedCrashes, {}, &ReplicaCrash::at);
 
-    if (evidence.openEnds.size() > mostOpenEnds)
-        evidence.openEnds.erase (evidence.openEnds.begin());
+    if (evidence.unconfirmedCrashes.size() > maxUnconfirmedCrashes)
+        evidence.unconfirmedCrashes.erase (evidence.unconfirmedCrashes.begin());
 
     return true;
 }
 
-auto standingOpenEnds (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>
+auto pendingUnconfirmedCrashes (const CrashEvidence& evidence, TimePoint now) -> std::vector<ReplicaCrash>
 {
-    auto standing = evidence.openEnds;
-    std::erase_if (standing,
+    auto pending = evidence.unconfirmedCrashes;
+    std::erase_if (pending,
                    [&] (const ReplicaCrash& end)
                    {
-                       const auto isCovered =
-                           evidence.succeeded && end.at <= *evidence.succeeded + successCovers;
-                       return isCovered || now - end.at > openEndTime;
+                       const auto isRefuted =
+                           evidence.lastSuccess && end.at <= *evidence.lastSuccess + successValidity;
+                       return isRefuted || now - end.at > confirmationTimeout;
                    });
-    return standing;
+    return pending;
 }
 
 auto isSameCrash (const ReplicaCrash& first, const ReplicaCrash& second) -> bool
@@ -75,50 +77,52 @@
     if (first.replica != second.replica)
         return false;
 
-    return (first.namesOneStart && second.namesOneStart) ||
-           std::chrono::abs (first.at - second.at) < shortestRestart;
+    return (first.identifiesIncarnation && second.identifiesIncarnation) ||
+           std::chrono::abs (first.at - second.at) < minRestartInterval;
 }
 
-auto mergeEvidence (CrashEvidence& known, const CrashEvidence& heard) -> bool
+auto mergeEvidence (CrashEvidence& known, const CrashEvidence& received) -> bool
 {
-    auto isNews = false;
+    auto isChanged = false;
 
-    for (const auto& crash : heard.crashes)
+    for (const auto& crash : received.crashes)
     {
-        isNews = addCrash (known.crashes, crash) || isNews;
-        std::erase_if (known.openEnds, [&crash] (const auto& end) { return isSameCrash (end, crash); });
+        isChanged = addCrash (known.crashes, crash) || isChanged;
+        std::erase_if (known.unconfirmedCrashes,
+                       [&crash] (const auto& end) { return isSameCrash (end, crash); });
     }
 
-    for (const auto& end : heard.openEnds)
-        isNews = noteOpenEnd (known, end) || isNews;
+    for (const auto& end : received.unconfirmedCrashes)
+        isChanged = recordUnconfirmedCrash (known, end) || isChanged;
 
-    if (heard.succeeded && (! known.succeeded || *heard.succeeded > *known.succeeded + tellingError))
+    if (received.lastSuccess &&
+        (! known.lastSuccess || *received.lastSuccess > *known.lastSuccess + ageTolerance))
     {
-        known.succeeded = heard.succeeded;
-        isNews = true;
+        known.lastSuccess = received.lastSuccess;
+        isChanged = true;
     }
 
-    known.lastSeen = std::max (known.lastSeen, heard.lastSeen);
-    return isNews;
+    known.lastSeen = std::max (known.lastSeen, received.lastSeen);
+    return isChanged;
 }
 
-auto standingCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
+auto unrefutedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
 {
-    auto standing = evidence.crashes;
+    auto unrefuted = evidence.crashes;
 
-    if (evidence.succeeded)
-        std::erase_if (standing, [covered = *evidence.succeeded + successCovers] (const auto& crash)
-                       { return crash.at <= covered; });
+    if (evidence.lastSuccess)
+        std::erase_if (unrefuted, [refutedUntil = *evidence.lastSuccess + successValidity] (const auto& crash)
+                       { return crash.at <= refutedUntil; });
 
-    return standing;
+    return unrefuted;
 }
 
 auto countedCrashes (const CrashEvidence& evidence) -> std::vector<ReplicaCrash>
 {
     std::vector<ReplicaCrash> counted;
 
-    for (const auto& crash : standingCrashes (evidence))
-        if (counted.empty() || crash.at >= counted.back().at + crashSpacing)
+    for (const auto& crash : unrefutedCrashes (evidence))
+        if (counted.empty() || crash.at >= counted.back().at + minCrashSpacing)
             counted.push_back (crash);
 
     return counted;
--- a/modules/snowrudder_requests/once/KeyTable.cpp
+++ b/modules/snowrudder_requests/once/KeyTable.cpp
@@ -34,7 +34,7 @@
         found->second.frozen = frozen;
 }
 
-auto KeyTable::giveUp (std::uint32_t slot) -> void
+auto KeyTable::releaseSlot (std::uint32_t slot) -> void
 {
     slots.erase (slot);
 }
@@ -67,18 +67,18 @@
     if (time < slot->second.knownSince || time < windowStart (wallNow))
         return { KeyVerdict::unknown, {} };
 
-    const auto mayAct = leaseEnd && now < *leaseEnd;
+    const auto holdsLease = leaseEnd && now < *leaseEnd;
 
-    if (! mayAct)
+    if (! holdsLease)
         return { KeyVerdict::notOwner, {} };
 
-    const auto [place, isNew] = keys.emplace (Name { call.key, call.account }, call);
-    requireInvariant (isNew, "a keyed call is started once");
+    const auto [place, isNew] = keys.emplace (TableKey { call.key, call.account }, call);
+    requireInvariant (isNew, "a keyed call starts once");
     place->second.state = KeyState::running;
     return { KeyVerdict::run, {} };
 }
 
-auto KeyTable::noteEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void
+auto KeyTable::recordEnd (const std::string& account, const Uuid& key, Ran ran, bool answered) -> void
 {
     const auto found = keys.find ({ key, account });
 
@@ -117,7 +117,8 @@
 
 auto KeyTable::dropOld (WallTime wallNow) -> void
 {
-    // A little longer than the window, so that a key is never unknown to the table and young enough to run.
+    // Keys are kept a little longer than the window, so that one is never absent from the table and still new enough to
+    // run.
     const auto oldest = windowStart (wallNow) - times.callerSkew - times.routerSkew;
 
     while (! keys.empty() && timeOf (keys.begin()->first.first) < oldest)
--- a/modules/snowrudder_requests/record/RequestTable.cpp
+++ b/modules/snowrudder_requests/record/RequestTable.cpp
@@ -6,8 +6,8 @@
 auto RequestTable::add (const RecordPointer& record, std::string_view key) -> RecordPointer
 {
     const std::lock_guard lock (mutex);
-    const auto& about = record->identity();
-    const auto accountKey = key.empty() ? std::string() : about.account + "|" + std::string (key);
+    const auto& identity = record->identity();
+    const auto accountKey = key.empty() ? std::string() : identity.account + "|" + std::string (key);
 
     if (! key.empty())
     {
@@ -17,13 +17,13 @@
             return place->second;
     }
 
-    const auto isAdded = records.emplace (toString (about.id), Entry { record, accountKey }).second;
+    const auto isAdded = records.emplace (toString (identity.id), Entry { record, accountKey }).second;
     requireInvariant (isAdded, "a request identifier names one request");
     ++openRecords;
     return nullptr;
 }
 
-auto RequestTable::addHanded (const RecordPointer& record) -> RecordPointer
+auto RequestTable::addHandedOver (const RecordPointer& record) -> RecordPointer
 {
     const std::lock_guard lock (mutex);
     const std::string noKey;
@@ -47,7 +47,7 @@
     return found->second.record;
 }
 
-auto RequestTable::noteEnded (const RecordPointer& record, TimePoint now) -> void
+auto RequestTable::markEnded (const RecordPointer& record, TimePoint now) -> void
 {
     const std::lock_guard lock (mutex);
     const auto found = records.find (toString (record->identity().id));
--- a/modules/snowrudder_rollout/evidence/AnswerTally.cpp
+++ b/modules/snowrudder_rollout/evidence/AnswerTally.cpp
@@ -6,13 +6,13 @@
 namespace
 {
 
-// A count's name: whose, how it ended, and the route or replica.
+// The name of a count consists of its group, the answer's quality, and the route or replica.
 constexpr auto ofTarget = 't';
 constexpr auto ofOthers = 'o';
 constexpr auto ofReplica = 'r';
 constexpr auto nameStart = std::size_t { 2 };
 
-auto letterOf (AnswerQuality quality) -> char
+auto codeOf (AnswerQuality quality) -> char
 {
     switch (quality)
     {
@@ -27,9 +27,9 @@
     return 'g';
 }
 
-auto countName (char whose, AnswerQuality quality, std::string_view what) -> std::string
+auto countName (char group, AnswerQuality quality, std::string_view what) -> std::string
 {
-    std::string name { whose, letterOf (quality) };
+    std::string name { group, codeOf (quality) };
     name += what;
     return name;
 }
@@ -37,17 +37,17 @@
 auto add (AnswerTally& tally, char quality, std::uint64_t count) -> void
 {
     tally.answers += count;
-    tally.failed += quality == letterOf (AnswerQuality::failed) ? count : 0;
-    tally.slow += quality == letterOf (AnswerQuality::slow) ? count : 0;
+    tally.failed += quality == codeOf (AnswerQuality::failed) ? count : 0;
+    tally.slow += quality == codeOf (AnswerQuality::slow) ? count : 0;
 }
 
 } // namespace
 
-auto noteAnswer (NamedCounts& counts,
-                 bool isTarget,
-                 std::string_view route,
-                 std::string_view replica,
-                 AnswerQuality quality) -> void
+auto recordAnswer (NamedCounts& counts,
+                   bool isTarget,
+                   std::string_view route,
+                   std::string_view replica,
+                   AnswerQuality quality) -> void
 {
     ++counts[countName (isTarget ? ofTarget : ofOthers, quality, route)];
 
--- a/modules/snowrudder_rollout/evidence/SlowAnswers.cpp
+++ b/modules/snowrudder_rollout/evidence/SlowAnswerDetector.cpp
@@ -1,4 +1,4 @@
-#include "SlowAnswers.h"
+#include "SlowAnswerDetector.h"
 
 #include <algorithm>
 
@@ -8,16 +8,18 @@
 namespace
 {
 
-/** An answer that takes so many times the median is slow. */
+/** An answer that takes this many times the median is slow. */
 constexpr auto slowFactor = 3.5;
 
-/** Answers of a route before its median counts. */
-constexpr auto leastCount = std::uint32_t { 20 };
+/** Answers of a route before its median is used. */
+constexpr auto minAnswersForMedian = std::uint32_t { 20 };
 
-/** What an answer takes beside its prompt, in milliseconds: short answers don't differ by as little as their prompts do. */
+/** Time that an answer takes in addition to its prompt, in milliseconds: answers to short prompts differ by less than
+    their prompts do.
+*/
 constexpr auto fixedMilliseconds = 20.0;
 
-/** By how much of itself the median moves with each answer. */
+/** Relative step by which each answer moves the median. */
 constexpr auto medianStep = 0.05;
 
 auto ratioOf (Duration firstByte, double expectedTokens, double tokensEachMillisecond) -> double
@@ -28,10 +30,10 @@
 
 } // namespace
 
-auto SlowAnswers::note (std::string_view route,
-                        Duration firstByte,
-                        double expectedTokens,
-                        double tokensEachMillisecond) -> void
+auto SlowAnswerDetector::record (std::string_view route,
+                                 Duration firstByte,
+                                 double expectedTokens,
+                                 double tokensEachMillisecond) -> void
 {
     const auto ratio = ratioOf (firstByte, expectedTokens, tokensEachMillisecond);
     auto& median = medians.try_emplace (std::string (route)).first->second;
@@ -41,13 +43,13 @@
     ++median.count;
 }
 
-auto SlowAnswers::isSlow (std::string_view route,
-                          Duration firstByte,
-                          double expectedTokens,
-                          double tokensEachMillisecond) const -> bool
+auto SlowAnswerDetector::isSlow (std::string_view route,
+                                 Duration firstByte,
+                                 double expectedTokens,
+                                 double tokensEachMillisecond) const -> bool
 {
     const auto found = medians.find (route);
-    return found != medians.end() && found->second.count >= leastCount &&
+    return found != medians.end() && found->second.count >= minAnswersForMedian &&
            ratioOf (firstByte, expectedTokens, tokensEachMillisecond) > slowFactor * found->second.value;
 }
 
--- a/modules/snowrudder_router/model/RecordRelay.cpp
+++ b/modules/snowrudder_router/model/RecordRelay.cpp
@@ -6,30 +6,30 @@
 namespace
 {
 
-/** A comment line this often keeps quiet streams open through the platform's balancer. */
-constexpr auto quietTime = 15s;
+/** Interval of comment lines on an idle stream. They prevent the platform's load balancer from closing it. */
+constexpr auto keepAliveInterval = 15s;
 
-/** Counts a reader in and out. */
-class Reader
+/** Registers a reader of a record for its own lifetime. */
+class ReaderRegistration
 {
 public:
-    Reader (RequestRecord& requestRecord, const std::shared_ptr<Signal>& readerSignal)
+    ReaderRegistration (RequestRecord& requestRecord, const std::shared_ptr<Signal>& readerSignal)
         : record (requestRecord), signal (readerSignal)
     {
         record.addReader (signal);
     }
 
-    ~Reader() { record.removeReader (signal, SteadyClock::now()); }
+    ~ReaderRegistration() { record.removeReader (signal, SteadyClock::now()); }
 
-    Reader (const Reader&) = delete;
-    auto operator= (const Reader&) -> Reader& = delete;
+    ReaderRegistration (const ReaderRegistration&) = delete;
+    auto operator= (const ReaderRegistration&) -> ReaderRegistration& = delete;
 
 private:
     RequestRecord& record;
     std::shared_ptr<Signal> signal;
 };
 
-auto beginEvents (Exchange& exchange, const std::string& id) -> Task<std::error_code>
+auto beginEventStream (Exchange& exchange, const std::string& id) -> Task<std::error_code>
 {
     http::response<http::empty_body> header (http::status::ok, 11);
     header.set (http::field::content_type, "text/event-stream");
@@ -53,7 +53,7 @@
         const auto part = record.readStream (after, events);
         after = part.lastEvent;
 
-        // Nothing has been sent yet: a failure can still have its own status.
+        // Nothing has been sent yet, so that the failure can be reported by its HTTP status.
         if (part.state == RecordState::failed && ! exchange.hasBegun() && after == 0)
         {
             exchange.stopWatching();
@@ -61,15 +61,15 @@
             co_return;
         }
 
-        // The connection ends without the stream's end: the caller resumes by the identifier, at any router.
+        // Closes the connection without ending the stream: the caller resumes by the request identifier, at any router.
         if (events.empty() && part.state == RecordState::handedOver)
             co_return;
 
         if (events.empty())
         {
-            const auto wasNotified = co_await signal.wait (SteadyClock::now() + quietTime);
+            const auto wasNotified = co_await signal.wait (SteadyClock::now() + keepAliveInterval);
 
-            if (exchange.callerGone())
+            if (exchange.hasCallerDisconnected())
                 co_return;
 
             if (wasNotified)
@@ -78,13 +78,13 @@
             events = ": waiting\n\n";
         }
 
-        if (! exchange.hasBegun() && co_await beginEvents (exchange, id))
+        if (! exchange.hasBegun() && co_await beginEventStream (exchange, id))
             co_return;
 
-        if (co_await exchange.writePiece (events))
+        if (co_await exchange.writeBodyPart (events))
             co_return;
 
-        record.noteRead (after);
+        record.updateReadPosition (after);
 
         if (part.ended)
             break;
@@ -101,9 +101,9 @@
 {
     while (record.state() == RecordState::open)
     {
-        co_await signal.wait (SteadyClock::now() + quietTime);
+        co_await signal.wait (SteadyClock::now() + keepAliveInterval);
 
-        if (exchange.callerGone())
+        if (exchange.hasCallerDisconnected())
             co_return;
     }
 
@@ -131,7 +131,7 @@
     const auto error = co_await exchange.respond (std::move (response));
 
     if (! error)
-        record.noteWholeRead();
+        record.markReadToEnd();
 }
 
 } // namespace
@@ -142,7 +142,7 @@
                   std::size_t after) -> Task<void>
 {
     const auto signal = std::make_shared<Signal> (exchange.executor());
-    const Reader reader (*record, signal);
+    const ReaderRegistration registration (*record, signal);
     exchange.watchCaller ([signal] { signal->notify(); });
 
     if (record->identity().stream)
--- a/modules/snowrudder_router/once/OnceHandler.cpp
+++ b/modules/snowrudder_router/once/OnceHandler.cpp
@@ -9,28 +9,30 @@
 namespace
 {
 
-/** An owner is looked for this long: a handover or a claim takes less. */
-constexpr auto longestSearch = 5s;
-constexpr auto searchPause = 150ms;
+/** Maximum time to find the owner of a key. A handover or a claim of a slot takes less. */
+constexpr auto ownerSearchTimeout = 5s;
+constexpr auto ownerSearchInterval = 150ms;
 
-/** An owner that has not answered for this long is asked again, if it still is the owner: it may be paused. */
-constexpr auto askTime = 2s;
+/** An owner that does not respond within this time may be paused. The request is sent again, to whichever router owns
+    the key then.
+*/
+constexpr auto ownerResponseTimeout = 2s;
 
-/** What asking an owner came to. */
-enum class Asked
+/** Result of forwarding a call to the key's owner. */
+enum class OwnerResponse
 {
     answered,
-    /** It can't be reached, or says that it is no owner. */
+    /** The router can't be reached, or responds that it doesn't own the key. */
     noOwner,
-    /** It took the question and has not answered yet. */
+    /** The request was sent, but the response timed out. */
     slow
 };
 
-/** Decides about a call.
+/** Decides how to handle a call, from the state of its key.
 
-    @param record  where its answer is made, should it be made here. It goes into the table together with the key: looked up
-                   elsewhere once the key was seen, it was missing for those who came in between the two, and they were told that
-                   the answer is no longer kept (8 of 12 callers with 20 ms between the two).
+    @param record  receives the answer if the call is made here. It is added to the key table together with the key: if it
+                   were added elsewhere in a second step, concurrent callers that find the key but no record would be
+                   answered that the answer is no longer kept (8 of 12 callers with 20 ms between the two steps).
 */
 auto decide (RouterState& state, const OnceCall& call, const std::shared_ptr<RequestRecord>& record)
     -> KeyDecision
@@ -41,7 +43,7 @@
     return state.once.table.decide (entry, SteadyClock::now(), wallTimeNow(), state.once.leaseEnd);
 }
 
-/** @returns where a living owner other than this router takes callers, or an empty text. */
+/** @returns the endpoint of the key's owner if that is another router with a valid lease; empty otherwise. */
 auto ownerEndpoint (RouterState& state, const OnceCall& call) -> std::string
 {
     const std::lock_guard lock (state.once.mutex);
@@ -50,19 +52,19 @@
     return isOther ? record->endpoint : std::string();
 }
 
-/** Makes the call, and notes in the key table how it ended. */
-auto runAndNote (RouterState& state,
-                 std::shared_ptr<RequestRecord> record,
-                 std::string account,
-                 Uuid key,
-                 KeyedRun run) -> Task<void>
+/** Makes the call and records its outcome in the key table. */
+auto runAndRecord (RouterState& state,
+                   std::shared_ptr<RequestRecord> record,
+                   std::string account,
+                   Uuid key,
+                   KeyedRun run) -> Task<void>
 {
     co_await run (record);
     const auto isAnswered = record->state() == RecordState::finished;
     const auto ran = isAnswered ? Ran::yes : record->problem().ran;
 
     const std::lock_guard lock (state.once.mutex);
-    state.once.table.noteEnd (account, key, ran, isAnswered);
+    state.once.table.recordEnd (account, key, ran, isAnswered);
 }
 
 auto makeCall (RouterState& state,
@@ -75,7 +77,7 @@
     const std::string noKey;
     state.requests.add (record, noKey);
     asio::co_spawn (worker.loop,
-                    runAndNote (state, record, call.input.account->name, call.key, std::move (run)),
+                    runAndRecord (state, record, call.input.account->name, call.key, std::move (run)),
                     asio::detached);
     co_await relayRecord (state, exchange, record, 0);
 }
@@ -94,18 +96,19 @@
     co_await respondProblem (state, exchange, problem, toString (call.input.id));
 }
 
-/** Asks the key's owner. The call may be asked for again as often as needed: the owner runs it once.
+/** Forwards a call to the key's owner and relays the answer to the caller. This can be repeated, as the owner runs the
+    call at most once.
 
-    @returns `answered` once the caller has its answer
+    @returns `answered` if the answer has been relayed to the caller
 */
-auto askOwner (RouterState& state,
-               Worker& worker,
-               Exchange& exchange,
-               const OnceCall& call,
-               const std::string& endpoint) -> Task<Asked>
+auto forwardToOwner (RouterState& state,
+                     Worker& worker,
+                     Exchange& exchange,
+                     const OnceCall& call,
+                     const std::string& endpoint) -> Task<OwnerResponse>
 {
     auto timeouts = state.timeouts.call;
-    timeouts.firstByte = askTime;
+    timeouts.firstByte = ownerResponseTimeout;
 
     HttpRequest request (call.received.method(), call.received.target(), 11);
     request.method_string (call.received.method_string());
@@ -118,38 +121,40 @@
     const auto mayReuse = true;
 
     if (co_await owner.connect (mayReuse) || co_await owner.send (request))
-        co_return Asked::noOwner;
+        co_return OwnerResponse::noOwner;
 
     if (const auto error = co_await owner.readHeader())
-        co_return error == std::errc::timed_out ? Asked::slow : Asked::noOwner;
+        co_return error == std::errc::timed_out ? OwnerResponse::slow : OwnerResponse::noOwner;
 
-    constexpr auto largestAnswer = std::size_t { 8 * 1024 * 1024 };
+    constexpr auto maxAnswerBytes = std::size_t { 8 * 1024 * 1024 };
     std::string body;
 
-    if (co_await owner.readRest (body, largestAnswer))
-        co_return Asked::noOwner;
+    if (co_await owner.readRest (body, maxAnswerBytes))
+        co_return OwnerResponse::noOwner;
 
     const auto type = toView (owner.header()[http::field::content_type]);
-    const auto isNotOwner = owner.status() == answerFor (ErrorKind::ownerUnavailable).status &&
+    const auto isNotOwner = owner.status() == errorDescription (ErrorKind::ownerUnavailable).status &&
                             type == "application/problem+json" &&
                             body.find ("owner_unavailable") != std::string::npos;
 
     if (isNotOwner)
-        co_return Asked::noOwner;
+        co_return OwnerResponse::noOwner;
 
     HttpResponse response (static_cast<http::status> (owner.status()), 11);
     copyEndToEndHeaders (owner.header(), response, [] (std::string_view) { return false; });
     response.body() = std::move (body);
     co_await exchange.respond (std::move (response));
-    co_return Asked::answered;
+    co_return OwnerResponse::answered;
 }
 
-/** Answers where the decision alone tells what to say.
+/** Responds to the caller if the verdict alone determines the response.
 
-    @returns whether it did
+    @returns whether it responded
 */
-auto answerVerdict (RouterState& state, Exchange& exchange, const OnceCall& call, const KeyDecision& decision)
-    -> Task<bool>
+auto respondToVerdict (RouterState& state,
+                       Exchange& exchange,
+                       const OnceCall& call,
+                       const KeyDecision& decision) -> Task<bool>
 {
     const auto id = toString (call.input.id);
 
@@ -186,7 +191,7 @@
 auto handleOnce (RouterState& state, Worker& worker, Exchange& exchange, OnceCall call, KeyedRun run)
     -> Task<void>
 {
-    auto end = std::min (SteadyClock::now() + longestSearch, call.input.deadline);
+    auto end = std::min (SteadyClock::now() + ownerSearchTimeout, call.input.deadline);
     const auto record = makeCallRecord (call.input, call.contentHash);
 
     for (;;)
@@ -199,24 +204,26 @@
             co_return;
         }
 
-        if (co_await answerVerdict (state, exchange, call, decision))
+        if (co_await respondToVerdict (state, exchange, call, decision))
             co_return;
 
         const auto endpoint = call.isForwarded ? std::string() : ownerEndpoint (state, call);
-        const auto asked =
-            endpoint.empty() ? Asked::noOwner : co_await askOwner (state, worker, exchange, call, endpoint);
+        const auto ownerResponse = endpoint.empty()
+                                       ? OwnerResponse::noOwner
+                                       : co_await forwardToOwner (state, worker, exchange, call, endpoint);
 
-        if (asked == Asked::answered)
+        if (ownerResponse == OwnerResponse::answered)
             co_return;
 
-        if (asked == Asked::slow)
-            end = std::min (SteadyClock::now() + longestSearch, call.input.deadline);
+        if (ownerResponse == OwnerResponse::slow)
+            end = std::min (SteadyClock::now() + ownerSearchTimeout, call.input.deadline);
 
-        // A router that was asked as the owner and is none says so at once; the one that asked looks again.
+        // A router that gets a forwarded call and doesn't own the key responds so at once. The router that forwarded the call
+        // searches for the owner again.
         if (call.isForwarded || SteadyClock::now() >= end)
             break;
 
-        co_await pauseFor (worker.loop, searchPause);
+        co_await pauseFor (worker.loop, ownerSearchInterval);
     }
 
     co_await respondProblem (state, exchange, makeProblem (ErrorKind::ownerUnavailable),
--- a/modules/snowrudder_router/once/SlotKeeper.cpp
+++ b/modules/snowrudder_router/once/SlotKeeper.cpp
@@ -10,17 +10,19 @@
 namespace
 {
 
-constexpr auto watchTime = 5s;
-constexpr auto failurePause = 500ms;
+constexpr auto maxWatchTimeout = 5s;
+constexpr auto retryInterval = 500ms;
 
-/** Others that start at the same time get to register their leases before the first one claims everything. */
-constexpr auto settleTime = 1s;
+/** Delay between the registration of this router's lease and its first claim. It lets routers that start at the same time
+    register their leases before the first one claims all slots.
+*/
+constexpr auto claimDelay = 1s;
 
-/** The work of keeping slots, with what it remembers between its steps. */
-class Keeper
+/** Maintains the lease and the slots, with the state between two steps. */
+class SlotKeeper
 {
 public:
-    Keeper (RouterState& routerState, Worker& routerWorker)
+    SlotKeeper (RouterState& routerState, Worker& routerWorker)
         : state (routerState), worker (routerWorker), once (routerState.once),
           platform (worker.pool, parseEndpoint (state.settings.platform()), state.metrics),
           name (state.settings.node().name())
@@ -40,21 +42,21 @@
                 co_await claimSlots();
 
             const auto newest =
-                isFresh ? co_await platform.watch (slotsPrefix, version, waitTime(), "slots_watch")
+                isFresh ? co_await platform.watch (slotsPrefix, version, watchTimeout(), "slots_watch")
                         : std::nullopt;
 
             if (! newest)
-                co_await pauseFor (worker.loop, jittered (failurePause));
+                co_await pauseFor (worker.loop, jittered (retryInterval));
         }
     }
 
 private:
-    /** A renewal is due well before the lease ends. */
-    [[nodiscard]] auto renewalTime() const -> Duration { return once.times.lease / 3; }
+    /** A third of the lease: leaves time to retry a renewal before the lease ends. */
+    [[nodiscard]] auto renewalInterval() const -> Duration { return once.times.lease / 3; }
 
-    [[nodiscard]] auto waitTime() const -> Duration
+    [[nodiscard]] auto watchTimeout() const -> Duration
     {
-        return std::min<Duration> (watchTime, renewalTime() / 2);
+        return std::min<Duration> (maxWatchTimeout, renewalInterval() / 2);
     }
 
     auto refresh() -> Task<bool>
@@ -74,27 +76,29 @@
 
         const std::lock_guard lock (once.mutex);
         once.view = std::move (view);
-        state.hasOwners = state.hasOwners || isWhollyOwned (once.view);
+        state.hasSlotOwners = state.hasSlotOwners || areAllSlotsOwned (once.view);
         adoptSlots();
         once.table.dropOld (wallTimeNow());
         co_return true;
     }
 
-    /** Brings the table in line with the records: what names this router and its lease is owned, nothing else is. */
+    /** Updates the key table from the platform's records: a slot is owned if its record names this router and its current
+        lease.
+    */
     auto adoptSlots() -> void
     {
-        // What is being handed over is not taken back by a listing that was on its way.
+        // A listing that was requested before the handover must not take back slots that are being handed over.
         if (state.leaving)
             return;
 
         for (auto slot = std::uint32_t { 0 }; slot < keySlotCount; ++slot)
         {
             const auto found = once.view.slots.find (slot);
-            const auto isMine = found != once.view.slots.end() && found->second.owner == name &&
-                                once.lease != 0 && found->second.lease == once.lease;
+            const auto isOwn = found != once.view.slots.end() && found->second.owner == name &&
+                               once.lease != 0 && found->second.lease == once.lease;
 
-            if (! isMine)
-                once.table.giveUp (slot);
+            if (! isOwn)
+                once.table.releaseSlot (slot);
             else if (! once.table.owns (slot))
                 adopt (slot, found->second);
         }
@@ -102,14 +106,15 @@
 
     auto adopt (std::uint32_t slot, const SlotRecord& record) -> void
     {
-        const auto inherited = once.inheritances.find (slot);
+        const auto handedTable = once.handedSlotTables.find (slot);
 
-        if (inherited != once.inheritances.end() && inherited->second.epoch == record.epoch)
-            once.table.inherit (slot, record.epoch, inherited->second.knownSince, inherited->second.entries);
+        if (handedTable != once.handedSlotTables.end() && handedTable->second.epoch == record.epoch)
+            once.table.inherit (slot, record.epoch, handedTable->second.knownSince,
+                                handedTable->second.entries);
         else
             once.table.takeOver (slot, record.epoch, wallTimeNow());
 
-        once.inheritances.erase (slot);
+        once.handedSlotTables.erase (slot);
         LogLine ("slot_owned").with ("slot", slot).with ("epoch", record.epoch).info();
     }
 
@@ -120,22 +125,22 @@
         if (lease != 0 && SteadyClock::now() < renewAt)
             co_return;
 
-        const auto begun = SteadyClock::now();
+        const auto requestedAt = SteadyClock::now();
 
         if (lease != 0)
         {
             const auto outcome = co_await platform.renewLease (lease);
 
             if (outcome == WriteOutcome::done)
-                noteLease (lease, begun);
+                recordLease (lease, requestedAt);
             else if (outcome == WriteOutcome::refused && SteadyClock::now() >= leaseEnd())
                 dropLease();
 
             co_return;
         }
 
-        // A key of this name belongs to an earlier run of this router: its lease must end first, for that run may
-        // only be paused.
+        // An owner key of this name belongs to an earlier process of this router. Its lease must end first, as that process
+        // may only be paused.
         if (isNameTaken())
             co_return;
 
@@ -148,31 +153,31 @@
             co_await platform.swap (ownerKey (name), 0, std::to_string (*granted), *granted, "lease");
 
         if (written.outcome == WriteOutcome::done)
-            noteLease (*granted, begun);
+            recordLease (*granted, requestedAt);
         else if (written.outcome == WriteOutcome::unknown)
-            co_await resolveLease (*granted, begun);
+            co_await resolveLease (*granted, requestedAt);
     }
 
-    /** The answer was lost: what stands there now tells. */
-    auto resolveLease (std::uint64_t lease, TimePoint begun) -> Task<void>
+    /** Reads the owner key back after a write whose response was lost, to find out whether the write took effect. */
+    auto resolveLease (std::uint64_t lease, TimePoint requestedAt) -> Task<void>
     {
         const auto stored = co_await platform.read (ownerKey (name), "lease");
 
         if (stored && stored->value == std::to_string (lease))
-            noteLease (lease, begun);
+            recordLease (lease, requestedAt);
     }
 
-    auto noteLease (std::uint64_t lease, TimePoint begun) -> void
+    auto recordLease (std::uint64_t lease, TimePoint requestedAt) -> void
     {
-        renewAt = begun + renewalTime();
+        renewAt = requestedAt + renewalInterval();
 
         if (registeredAt == TimePoint())
             registeredAt = SteadyClock::now();
 
         const std::lock_guard lock (once.mutex);
         once.lease = lease;
-        once.leaseEnd = begun + once.times.lease - once.times.margin;
-        // Known at once, not only with the next listing.
+        once.leaseEnd = requestedAt + once.times.lease - once.times.margin;
+        // Added to the view now instead of with the next listing.
         once.view.owners[name] = lease;
     }
 
@@ -206,7 +211,7 @@
     [[nodiscard]] auto mayClaim() const -> bool
     {
         const auto now = SteadyClock::now();
-        return currentLease() != 0 && now < leaseEnd() && now - registeredAt >= settleTime;
+        return currentLease() != 0 && now < leaseEnd() && now - registeredAt >= claimDelay;
     }
 
     auto claimSlots() -> Task<void>
@@ -234,7 +239,7 @@
                 static_cast<std::uint64_t> (wallTimeNow().time_since_epoch().count());
 
             const auto expected = found == view.slots.end() ? 0 : found->second.version;
-            // Whatever becomes of the answer, the next listing shows who owns the slot.
+            // The outcome is ignored: the next listing shows who owns the slot.
             co_await platform.swap (slotKey (slot), expected, toText (record), 0, "slots");
             hasClaimed = true;
         }
@@ -257,7 +262,7 @@
 
 auto keepSlots (RouterState& state, Worker& worker) -> Task<void>
 {
-    Keeper keeper (state, worker);
+    SlotKeeper keeper (state, worker);
     co_await keeper.run();
 }
 
--- a/modules/snowrudder_router/peers/InternalHandler.cpp
+++ b/modules/snowrudder_router/peers/InternalHandler.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/** @returns what another node is told where it asks what this one knows, or nothing. */
-auto tellNode (RouterState& state, const Exchange& exchange) -> std::optional<std::string>
+/** @returns the response to a request that exchanges or reads state; nothing if the path is not one of these. */
+auto replyToNode (RouterState& state, const Exchange& exchange) -> std::optional<std::string>
 {
     if (exchange.path() == treeTarget)
         return exchangeTree (state, exchange.request().body());
@@ -24,23 +24,27 @@
     return exchange.path() == statusTarget ? std::optional (routerStatus (state)) : std::nullopt;
 }
 
-/** @returns what is wrong with a message, or nothing once it is taken. */
-auto takeMessage (RouterState& state, Worker& worker, const Exchange& exchange) -> std::optional<Problem>
+/** Accepts slots or a request that another router hands over.
+
+    @returns the problem with the message, or nothing if it was accepted
+*/
+auto acceptMessage (RouterState& state, Worker& worker, const Exchange& exchange) -> std::optional<Problem>
 {
     if (state.leaving)
         return makeProblem (ErrorKind::nodeLeaving);
 
     const auto& body = exchange.request().body();
-    auto isTaken = false;
+    auto isAccepted = false;
 
     if (exchange.path() == "/internal/slots")
-        isTaken = takeHandedSlots (state, body);
+        isAccepted = acceptHandedSlots (state, body);
     else if (exchange.path() == "/internal/request")
-        isTaken = takeHandedRequest (state, worker, body);
+        isAccepted = acceptHandedRequest (state, worker, body);
     else
         return makeProblem (ErrorKind::notFound);
 
-    return isTaken ? std::nullopt : std::optional (makeProblem (ErrorKind::invalidRequest, "not understood"));
+    return isAccepted ? std::nullopt
+                      : std::optional (makeProblem (ErrorKind::invalidRequest, "not understood"));
 }
 
 } // namespace
@@ -54,14 +58,14 @@
         co_return;
     }
 
-    // A leaving router answers these too: what it knows may be the newest.
-    if (const auto told = tellNode (state, exchange))
+    // A leaving router answers these too, as its state may be the most recent.
+    if (const auto reply = replyToNode (state, exchange))
     {
-        co_await exchange.respond (http::status::ok, "application/x-protobuf", *told);
+        co_await exchange.respond (http::status::ok, "application/x-protobuf", *reply);
         co_return;
     }
 
-    const auto problem = takeMessage (state, worker, exchange);
+    const auto problem = acceptMessage (state, worker, exchange);
 
     if (problem)
         co_await respondProblem (state, exchange, *problem, "");
--- a/modules/snowrudder_router/plain/PlainCall.cpp
+++ b/modules/snowrudder_router/plain/PlainCall.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** One attempt: an answer, or why there is none. */
+/** Result of one attempt: an answer, or the reason why there is none. */
 using AttemptResult = std::variant<std::unique_ptr<PlainAnswer>, AttemptOutcome>;
 
 auto isRefusal (const ServiceView& service, unsigned status) -> bool
@@ -17,7 +17,7 @@
     return std::find (statuses.begin(), statuses.end(), status) != statuses.end();
 }
 
-auto attemptOn (RouterState& state, Worker& worker, const PlainCallInput& input, const ReplicaTicket& ticket)
+auto runAttempt (RouterState& state, Worker& worker, const PlainCallInput& input, const ReplicaTicket& ticket)
     -> Task<AttemptResult>
 {
     auto timeouts = state.timeouts.call;
@@ -30,7 +30,7 @@
     const auto failed = [&] (FailureCause cause)
     {
         const AttemptOutcome outcome { call.stage(), cause };
-        answer->health = healthOf (outcome);
+        answer->health = attemptHealthOf (outcome);
         return outcome;
     };
 
@@ -41,37 +41,37 @@
         co_return failed (FailureCause::connectFailed);
 
     if (const auto error = co_await call.sendAndReadHeader (input.request))
-        co_return failed (failureOf (error));
+        co_return failed (failureCauseOf (error));
 
     if (isRefusal (*input.service, call.status()))
         co_return failed (FailureCause::refused);
 
     if (const auto bodyError = co_await readAhead (call, answer->body))
-        co_return failed (failureOf (bodyError));
+        co_return failed (failureCauseOf (bodyError));
 
     co_return answer;
 }
 
-auto waitForVerdict (RouterState& state, Worker& worker, const PlainCallInput& input) -> Task<CrashJudgement>
+auto waitForVerdict (RouterState& state, Worker& worker, const PlainCallInput& input) -> Task<CrashAssessment>
 {
     return state.crashes.waitForVerdict (worker.loop, input.fingerprint, input.service->name,
                                          [end = input.deadline] { return SteadyClock::now() >= end; });
 }
 
-/** @returns what became of the replica of an attempt, for the log. */
-auto replicaAfter (RouterState& state,
-                   Worker& worker,
-                   const PlainCallInput& input,
-                   const ReplicaTicket& ticket,
-                   const AttemptResult& result) -> Task<std::string_view>
+/** @returns the state of an attempt's replica address after a failure that may be a crash, for the log. */
+auto examineReplica (RouterState& state,
+                     Worker& worker,
+                     const PlainCallInput& input,
+                     const ReplicaTicket& ticket,
+                     const AttemptResult& result) -> Task<std::string_view>
 {
     const auto* outcome = std::get_if<AttemptOutcome> (&result);
 
-    if (outcome == nullptr || ! mayShowCrash (*outcome))
+    if (outcome == nullptr || ! mayIndicateCrash (*outcome))
         co_return "not_asked";
 
-    WatchedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
-                           ticket.number,     ticket.info,         SteadyClock::now() };
+    InterruptedAttempt ended { input.fingerprint, toString (input.id), input.account->name,
+                               ticket.number,     ticket.info,         SteadyClock::now() };
     co_return co_await state.crashes.examine (worker.probes, std::move (ended));
 }
 
@@ -86,7 +86,8 @@
     identity.accepted = SteadyClock::now();
     identity.deadline = input.deadline;
     identity.contentHash = contentHash;
-    // Apart from its count of references: a key refers to it weakly for ten minutes, and would hold its 728 bytes for as long.
+    // Allocated separately from its reference count (no make_shared): a key keeps a weak pointer to the record for ten minutes,
+    // which would otherwise keep the record's 728 bytes allocated for as long.
     return std::make_unique<RequestRecord> (std::move (identity));
 }
 
@@ -101,36 +102,36 @@
 
     for (auto attempt = std::uint32_t { 1 };; ++attempt)
     {
-        const auto judgement = co_await waitForVerdict (state, worker, input);
+        const auto assessment = co_await waitForVerdict (state, worker, input);
 
-        if (judgement.verdict == CrashVerdict::stopped)
+        if (assessment.verdict == CrashVerdict::stopped)
         {
-            state.crashes.noteStopped (input.fingerprint, idText, judgement, SteadyClock::now());
+            state.crashes.reportStopped (input.fingerprint, idText, assessment, SteadyClock::now());
             co_return problemWhenStopped (retry.mayHaveRun);
         }
 
-        // The wait for a verdict may have outlasted the call's time.
+        // The deadline may have passed during the wait for a verdict.
         if (SteadyClock::now() >= input.deadline)
             co_return makeProblem (ErrorKind::deadlineExceeded, retry.mayHaveRun ? Ran::unknown : Ran::no,
                                    {});
 
         state.counts.attempts.add();
-        const CrashWatch::Running running (state.crashes, input.fingerprint);
+        const CrashMonitor::RunningAttempt running (state.crashes, input.fingerprint);
         ChoiceInput choice;
         choice.tried = tried;
-        const SuspectRanking ranking (state.crashes.table(), input.fingerprint, judgement, 0.0);
+        const SuspectRanking ranking (state.crashes.table(), input.fingerprint, assessment, 0.0);
         ranking.applyTo (choice);
 
-        AttemptResult result = AttemptOutcome { CallStage::planned, FailureCause::noReplica };
-        std::string_view after = "not_asked";
+        AttemptResult result = AttemptOutcome { CallStage::notSent, FailureCause::noReplica };
+        std::string_view addressState = "not_asked";
 
         if (const auto taken = state.replicas.take (input.service->name, choice,
                                                     choiceWeights (*input.service), SteadyClock::now()))
         {
-            logDecision (idText, input.account->name, *taken, attempt);
+            logRoutingDecision (idText, input.account->name, *taken, attempt);
             tried.push_back (taken->ticket.number);
-            result = co_await attemptOn (state, worker, input, taken->ticket);
-            after = co_await replicaAfter (state, worker, input, taken->ticket, result);
+            result = co_await runAttempt (state, worker, input, taken->ticket);
+            addressState = co_await examineReplica (state, worker, input, taken->ticket, result);
         }
         else
         {
@@ -141,18 +142,18 @@
             co_return std::move (*answer);
 
         const auto outcome = std::get<AttemptOutcome> (result);
-        noteFailed (failures, outcome);
+        recordFailure (failures, outcome);
         retry.attempts = countedAttempts (failures, 0);
-        retry.jitter = drawJitter();
+        retry.jitter = randomFraction();
         auto decision = decideAfterFailure (outcome, retry, SteadyClock::now());
         retry.mayHaveRun = retry.mayHaveRun || ranAfter (outcome) != Ran::no;
 
-        if (decision.again && decision.takesBudget)
-            decision.again = state.retryBudgets.take (input.account->name, input.service->name);
+        if (decision.shouldRetry && decision.takesBudget)
+            decision.shouldRetry = state.retryBudgets.take (input.account->name, input.service->name);
 
-        attemptFailed (idText, attempt, outcome, decision).with ("replica_address", after).info();
+        attemptFailedLine (idText, attempt, outcome, decision).with ("replica_address", addressState).info();
 
-        if (! decision.again)
+        if (! decision.shouldRetry)
             co_return problemAfter (outcome, decision);
 
         requireInvariant (input.repeatable || ! retry.mayHaveRun,
--- a/modules/snowrudder_router/state/OnceState.h
+++ b/modules/snowrudder_router/state/OnceState.h
@@ -9,15 +9,17 @@
 namespace snowrudder
 {
 
-/** A slot's table that a leaving router handed over, until the platform's record names this router as its owner. */
-struct Inheritance
+/** The keys of a slot that a leaving router handed over, held until the platform's record names this router as the slot's
+    owner.
+*/
+struct HandedSlotTable
 {
     std::uint64_t epoch = 0;
     WallTime knownSince {};
     std::vector<KeyEntry> entries;
 };
 
-/** All that a router knows of keyed calls. One mutex guards it; nothing else is locked while it is held. */
+/** A router's state of calls with idempotency keys. Guarded by one mutex; no other lock is taken while it is held. */
 struct OnceState
 {
     explicit OnceState (const SlotTimes& slotTimes) : times (slotTimes), table (slotTimes) {}
@@ -25,12 +27,12 @@
     const SlotTimes times;
     std::mutex mutex;
     KeyTable table;
-    /** As last read from the platform. */
+    /** Owners and slots as last read from the platform. */
     SlotView view;
-    /** This router's lease, and until when it may act on it by its own clock. */
+    /** This router's lease (0 for none), and the time by its own clock until which it may rely on it. */
     std::uint64_t lease = 0;
     std::optional<TimePoint> leaseEnd;
-    std::map<std::uint32_t, Inheritance> inheritances;
+    std::map<std::uint32_t, HandedSlotTable> handedSlotTables;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_router/state/RouterState.h
+++ b/modules/snowrudder_router/state/RouterState.h
@@ -21,32 +21,34 @@
 namespace snowrudder
 {
 
-/** What all workers of a router share. Each table guards itself; the lock order is in docs/ARCHITECTURE.md: a thread
-    holds at most one table's lock, and below RequestTable's only a RequestRecord's.
+/** State that all workers of a router share. Each table has its own lock. The lock order is described in
+    docs/ARCHITECTURE.md: a thread holds at most one table's lock, and while it holds that of RequestTable it may lock
+    only a RequestRecord.
 */
 struct RouterState
 {
     explicit RouterState (const schema::RouterSettings& routerSettings)
         : settings (routerSettings), timeouts (routerTimeouts (routerSettings)),
           limits (serverLimits (routerSettings)), counts (metrics),
-          crashes (metrics, replicas, ReplicaNaming::places),
+          crashes (metrics, replicas, ReplicaNaming::reusedAcrossRestarts),
           requests (timeouts.keepAnswer,
                     routerSettings.has_kept_answer_bytes() ? routerSettings.kept_answer_bytes()
-                                                           : usualKeptBytes),
+                                                           : defaultKeptBytes),
           once (slotTimes (routerSettings))
     {
     }
 
-    /** @returns the tree in force here. */
+    /** @returns the settings tree in force on this router. */
     [[nodiscard]] auto fleet() const -> std::shared_ptr<const FleetView>
     {
         const std::lock_guard lock (fleetMutex);
         return fleetView;
     }
 
-    /** Puts a newer tree in force. An older one changes nothing.
+    /** Puts a settings tree in force if its revision is newer.
 
-        @param text  the tree as it is stored, to be given to other nodes
+        @param text  the tree as stored, to be sent to other nodes
+        @returns     whether it was newer
     */
     auto setFleet (std::shared_ptr<const FleetView> view, std::string text) -> bool
     {
@@ -60,36 +62,39 @@
         return true;
     }
 
-    /** The tree in force with its text. */
-    struct HeldTree
+    /** Revision and text of the settings tree in force. */
+    struct CurrentTree
     {
         std::uint64_t revision = 0;
         std::shared_ptr<const std::string> text;
     };
 
-    [[nodiscard]] auto heldTree() const -> HeldTree
+    [[nodiscard]] auto currentTree() const -> CurrentTree
     {
         const std::lock_guard lock (fleetMutex);
         return { fleetView->revision(), fleetText };
     }
 
-    /** @returns how long this router's own VM has left, once it has a reclaim notice. */
+    /** @returns the time from the reclaim notice of this router's VM until it is reclaimed; nothing without a notice. */
     [[nodiscard]] auto reclaimNotice() const -> std::optional<std::chrono::milliseconds>
     {
         const auto milliseconds = noticeMilliseconds.load();
         return milliseconds < 0 ? std::nullopt : std::optional (std::chrono::milliseconds (milliseconds));
     }
 
-    /** @returns how many routers share the upstreams, this one included. */
+    /** @returns the number of routers that share the upstreams, including this one. */
     [[nodiscard]] auto routerCount() const -> std::size_t
     {
         return static_cast<std::size_t> (settings.peers_size()) + 1;
     }
 
-    /** @returns whether the balancer may send callers here. */
-    [[nodiscard]] auto isReady() const -> bool { return hasTree && hasReplicas && hasOwners && ! leaving; }
+    /** @returns whether the load balancer may send requests to this router. */
+    [[nodiscard]] auto isReady() const -> bool
+    {
+        return hasTree && hasReplicas && hasSlotOwners && ! leaving;
+    }
 
-    static constexpr auto usualKeptBytes = std::size_t { 16 * 1024 * 1024 };
+    static constexpr auto defaultKeptBytes = std::size_t { 16 * 1024 * 1024 };
 
     const schema::RouterSettings settings;
     const RouterTimeouts timeouts;
@@ -97,7 +102,7 @@
     Metrics metrics;
     RouterMetrics counts;
     ReplicaTable replicas;
-    CrashWatch crashes;
+    CrashMonitor crashes;
     RequestTable requests;
     AccountLimiter accounts;
     ServiceQueues queues;
@@ -106,14 +111,14 @@
 
     std::atomic<bool> hasTree { false };
     std::atomic<bool> hasReplicas { false };
-    /** Set once every key slot was seen with a living owner: until then keyed calls would wait. It stays set, for an
-        outage of the platform must not make all routers unready at once.
+    /** Set once every key slot has had an owner with a valid lease; before that, calls with idempotency keys would wait. It
+        stays set, because an outage of the platform must not make all routers unready at once.
     */
-    std::atomic<bool> hasOwners { false };
+    std::atomic<bool> hasSlotOwners { false };
     std::atomic<bool> leaving { false };
-    /** Below 0 while there is no notice. */
+    /** Time left at the reclaim notice; negative without a notice. */
     std::atomic<std::int64_t> noticeMilliseconds { -1 };
-    /** Calls to plain services in progress. */
+    /** Number of calls to plain services in progress. */
     std::atomic<std::size_t> plainCalls { 0 };
 
 private:
@@ -122,7 +127,7 @@
     std::shared_ptr<const std::string> fleetText = std::make_shared<const std::string>();
 };
 
-/** What belongs to one worker's thread. */
+/** State that belongs to one worker's thread. */
 struct Worker
 {
     explicit Worker (asio::io_context& eventLoop)
--- a/modules/snowrudder_routing/choice/ChooseReplica.cpp
+++ b/modules/snowrudder_routing/choice/ChooseReplica.cpp
@@ -1,7 +1,7 @@
 #include "ChooseReplica.h"
 
 #include "../prefix/PromptBlocks.h"
-#include "ReplicaParts.h"
+#include "ReplicaPartition.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,9 @@
 namespace
 {
 
-/** The hash that the ranking is made for: a prompt's first bytes, or all that there is. */
+/** @returns the hash that replicas are ranked by: that of the prompt's leading blocks, or of the whole prompt where it
+    is shorter.
+*/
 auto anchorOf (const ChoiceInput& input, const ChoiceWeights& weights) -> std::uint64_t
 {
     if (input.blocks.empty())
@@ -22,8 +24,8 @@
     if (input.anchorBlock)
         return input.blocks[std::min (*input.anchorBlock, input.blocks.size() - 1)];
 
-    const auto wanted = std::max<std::size_t> (weights.anchorBytes / promptBlockBytes, 1);
-    return input.blocks[std::min (wanted, input.blocks.size()) - 1];
+    const auto anchorBlocks = std::max<std::size_t> (weights.anchorBytes / promptBlockBytes, 1);
+    return input.blocks[std::min (anchorBlocks, input.blocks.size()) - 1];
 }
 
 auto wasTried (const ChoiceInput& input, ReplicaNumber number) -> bool
@@ -50,46 +52,46 @@
     return 0.0;
 }
 
-/** Leaves out replicas that are full for a request of an account over its share, unless all are. */
-auto keepThoseWithRoom (std::vector<Candidate>& candidates) -> void
+/** Removes replicas that are full for a request of an account over its share, unless all of them are. */
+auto keepWithCapacity (std::vector<Candidate>& candidates) -> void
 {
-    if (std::ranges::any_of (candidates, &Candidate::hasRoom))
-        std::erase_if (candidates, [] (const Candidate& candidate) { return ! candidate.hasRoom; });
+    if (std::ranges::any_of (candidates, &Candidate::hasCapacity))
+        std::erase_if (candidates, [] (const Candidate& candidate) { return ! candidate.hasCapacity; });
 }
 
-/** Leaves out the replicas that belong to other requests' parts, unless all do. */
-auto keepPartApart (std::vector<Candidate>& candidates,
-                    std::span<const ReplicaState> replicas,
-                    const ChoiceInput& input,
-                    const ChoiceWeights& weights) -> void
+/** Removes the replicas that belong to the partitions of other requests, unless all of them do. */
+auto keepSeparatedPartition (std::vector<Candidate>& candidates,
+                             std::span<const ReplicaState> replicas,
+                             const ChoiceInput& input,
+                             const ChoiceWeights& weights) -> void
 {
     const auto anchor = anchorOf (input, weights);
     const auto isOthers = [&] (const Candidate& candidate)
-    { return ! isInPart (anchor, input.apartFrom, replicas[candidate.index].hash); };
+    { return ! isInPartition (anchor, input.separatedFrom, replicas[candidate.index].hash); };
 
     if (! std::ranges::all_of (candidates, isOthers))
         std::erase_if (candidates, isOthers);
 }
 
-/** @returns the hash below which a replica takes long prompts, where they are kept apart: all routers split the replicas
-    the same way. Nothing where they are not split for requests like this one.
+/** @returns the hash below which a replica is reserved for long prompts, or nothing where the replicas are not split
+    for this request. All routers split the replicas the same way.
 */
 auto longPromptBound (std::span<const ReplicaState> replicas,
                       const ChoiceInput& input,
                       const ChoiceWeights& weights,
                       TimePoint now) -> std::optional<std::uint32_t>
 {
-    if (weights.longPrompt <= 0.0 || input.promptTokens <= 0.0)
+    if (weights.longPromptThreshold <= 0.0 || input.promptTokens <= 0.0)
         return {};
 
     std::vector<std::uint32_t> hashes;
     hashes.reserve (replicas.size());
 
     for (const auto& replica : replicas)
-        if (useOf (replica, now) == ReplicaUse::usable)
+        if (availabilityOf (replica, now) == ReplicaAvailability::usable)
             hashes.push_back (replica.hash);
 
-    if (hashes.size() < weights.leastToSplit)
+    if (hashes.size() < weights.minReplicasToSplit)
         return {};
 
     const auto part = std::lround (weights.longPromptShare * static_cast<double> (hashes.size()));
@@ -98,11 +100,11 @@
     return *middle;
 }
 
-/** Leaves out the replicas of the other part. A request that has tried its own part may use the other. */
-auto keepOwnPart (std::vector<Candidate>& candidates,
-                  std::span<const ReplicaState> replicas,
-                  bool isLong,
-                  std::uint32_t bound) -> void
+/** Removes the replicas of the other partition, unless no candidate is left in the request's own, as after retries. */
+auto keepPartitionForLength (std::vector<Candidate>& candidates,
+                             std::span<const ReplicaState> replicas,
+                             bool isLong,
+                             std::uint32_t bound) -> void
 {
     const auto isOther = [&] (const Candidate& candidate)
     { return isLong != (replicas[candidate.index].hash < bound); };
@@ -111,13 +113,13 @@
         std::erase_if (candidates, isOther);
 }
 
-/** The replica that the hash ranking for a prompt puts first among those seen so far. */
+/** Finds the replica with the highest rendezvous value for a prompt. */
 class RankedFirst
 {
 public:
     explicit RankedFirst (std::uint64_t promptAnchor) : anchor (promptAnchor) {}
 
-    auto see (std::size_t index, const ReplicaState& replica) -> void
+    auto consider (std::size_t index, const ReplicaState& replica) -> void
     {
         const auto value = rendezvousValue (anchor, replica.info.name);
 
@@ -128,7 +130,7 @@
         firstValue = value;
     }
 
-    [[nodiscard]] auto is (std::size_t index) const -> bool { return first == index; }
+    [[nodiscard]] auto isFirst (std::size_t index) const -> bool { return first == index; }
 
 private:
     static constexpr auto none = std::numeric_limits<std::size_t>::max();
@@ -138,30 +140,35 @@
     std::uint64_t firstValue = 0;
 };
 
-/** @returns the part of the replicas that one request weighs for their load alone, drawn at random; 1 where it weighs all. With all
-    of 295 routers weighing all replicas, 84 of 100 calls to 6 of them and 87 of 100 prompts to 204 waited for a slot, with a
-    quarter of the slots taken, and the busiest of 204 had 12 times the mean; with one drawn for calls and two for prompts 0.4 of
-    100 calls and no prompt waited, and it had 1.7 times (virtual time, loads told every 500 ms, 250 ms old).
+/** @returns the fraction of the replicas that are sampled at random as candidates for one request; 1 where all of them
+    are candidates.
+
+    Sampling avoids herding on stale load reports. Simulated with 295 routers, a quarter of the slots taken, and loads
+    that were shared every 500 ms and 250 ms old: when each router compares all replicas, 84% of the calls to 6 replicas
+    and 87% of the prompts to 204 replicas wait for a slot, and the busiest of the 204 has 12 times the mean load. When
+    one replica is sampled for calls and two for prompts, 0.4% of the calls and no prompt wait, and the busiest has 1.7
+    times the mean.
 */
-auto drawnShare (const ChoiceInput& input, const ChoiceWeights& weights, std::size_t replicas) -> double
+auto sampledShare (const ChoiceInput& input, const ChoiceWeights& weights, std::size_t replicas) -> double
 {
-    if (input.routers <= mostRoutersCounted)
+    if (input.routers <= maxCountedRouters)
         return 1.0;
 
-    const auto drawn = input.promptTokens > 0.0 ? weights.drawn : weights.drawnForCalls;
-    return drawn / static_cast<double> (replicas);
+    const auto sampledReplicas =
+        input.promptTokens > 0.0 ? weights.sampledReplicas : weights.sampledReplicasForCalls;
+    return sampledReplicas / static_cast<double> (replicas);
 }
 
-/** Leaves out replicas that were not drawn and hold nothing of the prompt; the one whose place is first stays, so that one
-    does where none was drawn.
+/** Removes replicas that are not in the sample, hold no part of the prompt and do not rank first for it. The replica
+    with the lowest sample position always stays, so that the sample is never empty.
 */
-auto keepDrawn (std::vector<Candidate>& candidates,
-                std::span<const ReplicaState> replicas,
-                const ChoiceInput& input,
-                const ChoiceWeights& weights,
-                const RankedFirst& ranked) -> void
+auto keepSampled (std::vector<Candidate>& candidates,
+                  std::span<const ReplicaState> replicas,
+                  const ChoiceInput& input,
+                  const ChoiceWeights& weights,
+                  const RankedFirst& ranked) -> void
 {
-    const auto share = drawnShare (input, weights, replicas.size());
+    const auto share = sampledShare (input, weights, replicas.size());
 
     if (share >= 1.0 || candidates.empty())
         return;
@@ -169,34 +176,38 @@
     constexpr auto bits = 64;
 
     for (auto& candidate : candidates)
-        candidate.place =
+        candidate.samplePosition =
             static_cast<double> (rendezvousValue (input.draw, replicas[candidate.index].info.name)) /
             std::exp2 (bits);
 
-    const auto first = std::ranges::min_element (candidates, {}, &Candidate::place)->index;
+    const auto first = std::ranges::min_element (candidates, {}, &Candidate::samplePosition)->index;
     std::erase_if (candidates,
                    [&] (const Candidate& candidate)
                    {
-                       const auto isKept = candidate.place < share || candidate.index == first ||
+                       const auto isKept = candidate.samplePosition < share || candidate.index == first ||
                                            candidate.uncachedTokens < input.promptTokens ||
-                                           (! input.blocks.empty() && ranked.is (candidate.index));
+                                           (! input.blocks.empty() && ranked.isFirst (candidate.index));
                        return ! isKept;
                    });
 }
 
-/** What waiting on a replica costs: prompts before this one, and no slot free. */
-auto waitCost (const ReplicaState& replica, double believed, const ChoiceWeights& weights, TimePoint now)
-    -> double
+/** @returns the expected cost of waiting on a replica, in tokens: for the prompts queued before this one, and for busy
+    slots.
+*/
+auto waitCost (const ReplicaState& replica,
+               double requestEstimate,
+               const ChoiceWeights& weights,
+               TimePoint now) -> double
 {
     const auto slots = std::max (1.0, static_cast<double> (replica.info.slots));
-    const auto occupancy = (believed + 1.0) / slots;
+    const auto occupancy = (requestEstimate + 1.0) / slots;
     const auto excess = std::max (0.0, occupancy - 1.0);
 
-    // A busy replica answers slower long before its slots run out.
-    auto cost = weights.queue * believedPendingTokens (replica, now);
+    // A busy replica slows down long before its slots run out.
+    auto cost = weights.queue * estimatedPendingTokens (replica, now);
     cost += weights.busySlot * (0.25 * occupancy * occupancy + excess * slots);
 
-    // What the target leaves room for is nearly free: it only breaks ties towards the less busy replica.
+    // Waiting within the latency target is nearly free: it only breaks ties in favour of the less busy replica.
     constexpr auto tieBreak = 0.05;
     cost = std::max (0.0, cost - weights.freeWait) + tieBreak * std::min (cost, weights.freeWait);
 
@@ -206,22 +217,22 @@
     {
         const auto left =
             1.0 - std::chrono::duration<double> (age) / std::chrono::duration<double> (weights.slowStart);
-        cost += weights.busySlot * left * believed;
+        cost += weights.busySlot * left * requestEstimate;
     }
 
     return cost;
 }
 
-/** @returns how many tokens a prompt's home, the replica that its ranking puts first, is taken to compute. Of a prompt's own
-    tokens nothing can be cached anywhere.
+/** @returns how many prompt tokens the replica that ranks first is assumed to compute. A prompt's own tokens are shared
+    with no other request, so no replica can have them cached.
 */
-auto uncachedAtHome (const ChoiceInput& input, const ChoiceWeights& weights) -> double
+auto uncachedAtFirstRanked (const ChoiceInput& input, const ChoiceWeights& weights) -> double
 {
     const auto shared = std::max (0.0, input.promptTokens - input.ownTokens);
     return input.promptTokens - shared * weights.assumedCached;
 }
 
-/** Keeps the candidates of the lowest scores, the lowest first: as many as a choice tells of. */
+/** Keeps the `keptCandidates` lowest scores, in ascending order. */
 auto keepBest (std::vector<Candidate>& candidates) -> void
 {
     const auto kept = std::min (keptCandidates, candidates.size());
@@ -243,7 +254,7 @@
                     TimePoint now) -> std::optional<Choice>
 {
     Choice choice;
-    const auto others = countedOthers (input.routers);
+    const auto others = countedOtherRouters (input.routers);
     const auto bound = longPromptBound (replicas, input, weights, now);
     const auto isAnyVersionAllowed = input.onlyVersion.empty() && input.exceptVersion.empty();
     RankedFirst ranked (anchorOf (input, weights));
@@ -252,7 +263,7 @@
     {
         const auto& replica = replicas[index];
 
-        if (useOf (replica, now) != ReplicaUse::usable)
+        if (availabilityOf (replica, now) != ReplicaAvailability::usable)
             continue;
 
         if (! isAnyVersionAllowed && ! hasAllowedVersion (input, replica))
@@ -261,34 +272,34 @@
         ++choice.usable;
 
         if (! bound)
-            ranked.see (index, replica);
+            ranked.consider (index, replica);
 
         if (wasTried (input, replica.number))
             continue;
 
         const auto uncached = std::max (0.0, input.promptTokens - matchedTokens (input, replica.number));
-        const auto room = ! input.isOverShare || believedRequests (replica, now, others) + 1.0 <=
+        const auto room = ! input.isOverShare || estimatedRequests (replica, now, others) + 1.0 <=
                                                      weights.fullOccupancy * replica.info.slots;
         choice.candidates.push_back ({ index, 0.0, uncached, room, 0.0 });
     }
 
     if (input.isOverShare)
-        keepThoseWithRoom (choice.candidates);
+        keepWithCapacity (choice.candidates);
 
-    if (! input.apartFrom.empty())
-        keepPartApart (choice.candidates, replicas, input, weights);
+    if (! input.separatedFrom.empty())
+        keepSeparatedPartition (choice.candidates, replicas, input, weights);
 
-    const auto isKeptApart = bound && input.ownTokens > weights.longPrompt;
+    const auto isLongPrompt = bound && input.ownTokens > weights.longPromptThreshold;
 
     if (bound)
     {
-        keepOwnPart (choice.candidates, replicas, isKeptApart, *bound);
+        keepPartitionForLength (choice.candidates, replicas, isLongPrompt, *bound);
 
         for (const auto& candidate : choice.candidates)
-            ranked.see (candidate.index, replicas[candidate.index]);
+            ranked.consider (candidate.index, replicas[candidate.index]);
     }
 
-    keepDrawn (choice.candidates, replicas, input, weights, ranked);
+    keepSampled (choice.candidates, replicas, input, weights, ranked);
 
     if (choice.candidates.empty())
         return {};
@@ -296,14 +307,15 @@
     for (auto& candidate : choice.candidates)
     {
         const auto& replica = replicas[candidate.index];
-        const auto believed = believedRequests (replica, now, others);
-        candidate.score = waitCost (replica, believed, weights, now);
+        const auto requestEstimate = estimatedRequests (replica, now, others);
+        candidate.score = waitCost (replica, requestEstimate, weights, now);
 
-        if (isKeptApart)
-            candidate.score += weights.besideLongPrompt * believed;
+        if (isLongPrompt)
+            candidate.score += weights.longPromptInterference * requestEstimate;
 
-        if (ranked.is (candidate.index) && ! input.blocks.empty())
-            candidate.uncachedTokens = std::min (candidate.uncachedTokens, uncachedAtHome (input, weights));
+        if (ranked.isFirst (candidate.index) && ! input.blocks.empty())
+            candidate.uncachedTokens =
+                std::min (candidate.uncachedTokens, uncachedAtFirstRanked (input, weights));
 
         candidate.score += weights.recompute * candidate.uncachedTokens;
     }
@@ -312,14 +324,14 @@
 
     const auto& winner = choice.candidates.front();
     const auto& chosen = replicas[winner.index];
-    choice.believed = believedRequests (chosen, now, others);
-    choice.pendingTokens = believedPendingTokens (chosen, now);
+    choice.requestEstimate = estimatedRequests (chosen, now, others);
+    choice.pendingTokens = estimatedPendingTokens (chosen, now);
     choice.loadAge = chosen.reportTime ? std::optional<Duration> (now - *chosen.reportTime) : std::nullopt;
     const auto isCached = matchedTokens (input, chosen.number) > 0.0;
-    choice.reason = choice.usable == 1         ? "only"
-                    : isCached                 ? "cached"
-                    : ranked.is (winner.index) ? "ranked"
-                                               : "spilled";
+    choice.reason = choice.usable == 1              ? "only"
+                    : isCached                      ? "cached"
+                    : ranked.isFirst (winner.index) ? "ranked"
+                                                    : "spilled";
     return choice;
 }
 
--- a/modules/snowrudder_serving/attempt/AttemptErrors.cpp
+++ b/modules/snowrudder_serving/attempt/AttemptErrors.cpp
@@ -5,7 +5,7 @@
 namespace snowrudder
 {
 
-auto failureOf (std::error_code error) -> FailureCause
+auto failureCauseOf (std::error_code error) -> FailureCause
 {
     if (error == std::errc::timed_out)
         return FailureCause::timedOut;
@@ -18,7 +18,7 @@
     return isHttp && ! isEnd ? FailureCause::invalid : FailureCause::cut;
 }
 
-auto healthOf (const AttemptOutcome& outcome) -> AttemptHealth
+auto attemptHealthOf (const AttemptOutcome& outcome) -> AttemptHealth
 {
     switch (outcome.cause)
     {
@@ -43,22 +43,22 @@
     return AttemptHealth::neutral;
 }
 
-auto attemptFailed (std::string_view requestId,
-                    std::uint32_t attempt,
-                    const AttemptOutcome& outcome,
-                    const RetryDecision& decision) -> LogLine
+auto attemptFailedLine (std::string_view requestId,
+                        std::uint32_t attempt,
+                        const AttemptOutcome& outcome,
+                        const RetryDecision& decision) -> LogLine
 {
     LogLine line ("attempt_failed");
     line.with ("request", requestId)
         .with ("attempt", attempt)
         .with ("cause", toString (outcome.cause))
-        .with ("again", decision.again ? "yes" : "no");
+        .with ("again", decision.shouldRetry ? "yes" : "no");
     return line;
 }
 
 auto problemWhenStopped (bool mayHaveRun) -> Problem
 {
-    // Only what surely has not run may be told so, and be asked to come back.
+    // Only a request that certainly has not run may be reported as such, with a hint to retry.
     return makeProblem (mayHaveRun ? ErrorKind::upstreamFailed : ErrorKind::crashesReplicas,
                         "replicas end when they run this request");
 }
--- a/modules/snowrudder_serving/capacity/CapacityMemory.cpp
+++ b/modules/snowrudder_serving/capacity/CapacityMemory.cpp
@@ -8,95 +8,96 @@
 namespace
 {
 
-/** After a refusal for want of reclaimable replicas, until the next try. */
-constexpr auto dryPause = Duration (3s);
+/** Pause before reclaimable replicas are ordered again in a failure domain where they are unavailable. */
+constexpr auto refusalPause = Duration (3s);
 
-/** An order is given again when what serves still differs from it after the boot time and this. */
-constexpr auto repeatPause = Duration (3s);
+/** An order is repeated if the number of serving replicas still differs from it this long after the boot time. */
+constexpr auto reorderPause = Duration (3s);
 
-/** From a replica's start until its entry is seen. */
-constexpr auto entryTime = Duration (1500ms);
+/** Longest time from a replica's start until its directory entry is seen. */
+constexpr auto registrationTime = Duration (1500ms);
 
-/** What is needed falls over this time: a swing of the day takes 40 s, and a replica that is given up takes some seconds to
-    come back.
+/** Time constant with which the need decays. A swing of the daily load takes 40 s, and a replica that was released
+    takes some seconds to come back.
 */
-constexpr auto fallTime = Duration (15s);
+constexpr auto needDecayTime = Duration (15s);
 
-/** Orders fall by this part at least: with each replica that goes, what it had cached is lost, and all readers of the store
-    are told twice.
+/** Orders are reduced by at least one in this many replicas. Each replica that goes takes its cache with it, and every
+    reader of the store receives two updates.
 */
-constexpr auto leastFall = 6U;
+constexpr auto minReductionDivisor = 6U;
 
-/** Reclaims come in waves: as seen so far two to four failure domains lose theirs within 13 s, and no new ones are to be
-    had for 12 to 15 s. For so long after the last sign of one, others are expected.
+/** Reclaims come in waves: two to four failure domains lose their reclaimable replicas within 13 s, and no new ones are
+    available for 12 to 15 s. More reclaims are expected for this long after the last sign of one.
 */
-constexpr auto waveTime = Duration (5s);
+constexpr auto reclaimWaveTime = Duration (5s);
 
-/** A failure domain that keeps no more than one in so many of its reclaimable replicas was reclaimed. */
-constexpr auto mostLost = 4U;
+/** A failure domain that keeps at most one in this many of its reclaimable replicas was reclaimed. */
+constexpr auto reclaimedDivisor = 4U;
 
 } // namespace
 
-auto noteNeeded (std::map<std::string, double>& needed,
-                 const std::string& service,
-                 double measured,
-                 Duration passed) -> double
+auto updateNeeded (std::map<std::string, double>& needed,
+                   const std::string& service,
+                   double measured,
+                   Duration passed) -> double
 {
     auto& mean = needed.emplace (service, measured).first->second;
-    const auto fall = std::chrono::duration<double> (passed) / std::chrono::duration<double> (fallTime);
+    const auto fall = std::chrono::duration<double> (passed) / std::chrono::duration<double> (needDecayTime);
     mean = std::max (measured, mean + (measured - mean) * std::min (1.0, fall));
     return mean;
 }
 
-auto noteServing (CapacityMemory& memory,
-                  const std::string& service,
-                  const std::string& domain,
-                  std::uint32_t serving,
-                  TimePoint now) -> bool
+auto recordServing (CapacityMemory& memory,
+                    const std::string& service,
+                    const std::string& domain,
+                    std::uint32_t serving,
+                    TimePoint now) -> bool
 {
-    auto& before = memory.served[{ service, domain }];
+    auto& previous = memory.lastServing[{ service, domain }];
     const auto isOrdered = orderedReplicas (memory, service, domain, true) > serving;
-    const auto isReclaimed = before > 0 && serving * mostLost <= before && isOrdered;
-    before = serving;
+    const auto isReclaimed = previous > 0 && serving * reclaimedDivisor <= previous && isOrdered;
+    previous = serving;
 
     if (! isReclaimed)
         return false;
 
-    // No more are to be had there for a while, and an order that stands would take the room of on-demand ones.
-    memory.reclaimSeen[service] = now;
-    memory.dryUntil[{ service, domain }] = now + dryPause;
+    // None are available there for a while, and a standing order would take the capacity that on-demand replicas need.
+    memory.lastReclaims[service] = now;
+    memory.unavailableUntil[{ service, domain }] = now + refusalPause;
     return true;
 }
 
-auto noteOrder (CapacityMemory& memory, const CapacityOrder& order, StoreOutcome outcome, TimePoint now)
+auto recordOrder (CapacityMemory& memory, const CapacityOrder& order, StoreOutcome outcome, TimePoint now)
     -> void
 {
     if (outcome == StoreOutcome::done)
-        memory.given[{ order.service, order.failureDomain, order.isReclaimable }] = { order.replicas, now };
+        memory.acceptedOrders[{ order.service, order.failureDomain, order.isReclaimable }] = { order.replicas,
+                                                                                               now };
 
     if (outcome != StoreOutcome::refused || ! order.isReclaimable)
         return;
 
-    memory.dryUntil[{ order.service, order.failureDomain }] = now + dryPause;
-    memory.reclaimSeen[order.service] = now;
+    memory.unavailableUntil[{ order.service, order.failureDomain }] = now + refusalPause;
+    memory.lastReclaims[order.service] = now;
 }
 
 auto isReclaimWave (const CapacityMemory& memory, const std::string& service, TimePoint now) -> bool
 {
-    const auto seen = memory.reclaimSeen.find (service);
-    return seen != memory.reclaimSeen.end() && now - seen->second < waveTime;
+    const auto seen = memory.lastReclaims.find (service);
+    return seen != memory.lastReclaims.end() && now - seen->second < reclaimWaveTime;
 }
 
-auto dryDomains (const CapacityMemory& memory, const std::string& service, TimePoint now)
+auto unavailableDomains (const CapacityMemory& memory, const std::string& service, TimePoint now)
     -> std::set<std::string>
 {
-    std::set<std::string> dry;
+    std::set<std::string> domains;
 
-    for (const auto& [place, until] : memory.dryUntil)
-        if (place.first == service && now < until)
-            dry.insert (place.second);
+    for (const auto& [serviceAndDomain, until] : memory.unavailableUntil)
+        if (serviceAndDomain.first == service && now < until)
+            domains.insert (serviceAndDomain.second);
 
-    return dry;
+    return domains;
 }
 
 auto orderedReplicas (const CapacityMemory& memory,
@@ -104,30 +105,33 @@
                       const std::string& domain,
                       bool isReclaimable) -> std::uint32_t
 {
-    const auto given = memory.given.find ({ service, domain, isReclaimable });
-    return given == memory.given.end() ? 0 : given->second.replicas;
+    const auto accepted = memory.acceptedOrders.find ({ service, domain, isReclaimable });
+    return accepted == memory.acceptedOrders.end() ? 0 : accepted->second.replicas;
 }
 
-auto isDue (const CapacityMemory& memory,
-            const CapacityOrder& order,
-            std::uint32_t serving,
-            Duration bootTime,
-            TimePoint now) -> bool
+auto isOrderDue (const CapacityMemory& memory,
+                 const CapacityOrder& order,
+                 std::uint32_t serving,
+                 Duration bootTime,
+                 TimePoint now) -> bool
 {
-    const auto given = memory.given.find ({ order.service, order.failureDomain, order.isReclaimable });
+    const auto accepted =
+        memory.acceptedOrders.find ({ order.service, order.failureDomain, order.isReclaimable });
 
-    const auto mayStillBoot = memory.takenOver && now - *memory.takenOver < bootTime + entryTime;
+    const auto mayStillBoot = memory.takenOverAt && now - *memory.takenOverAt < bootTime + registrationTime;
 
-    if (given == memory.given.end() && mayStillBoot && order.replicas <= serving)
+    if (accepted == memory.acceptedOrders.end() && mayStillBoot && order.replicas <= serving)
         return false;
 
-    if (given == memory.given.end() || given->second.replicas < order.replicas)
+    if (accepted == memory.acceptedOrders.end() || accepted->second.replicas < order.replicas)
         return true;
 
-    if (given->second.replicas - order.replicas >= std::max (1U, given->second.replicas / leastFall))
+    if (accepted->second.replicas - order.replicas >=
+        std::max (1U, accepted->second.replicas / minReductionDivisor))
         return true;
 
-    return serving != given->second.replicas && now - given->second.given > bootTime + repeatPause;
+    return serving != accepted->second.replicas &&
+           now - accepted->second.acceptedAt > bootTime + reorderPause;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/capacity/CapacityMemory.h
+++ b/modules/snowrudder_serving/capacity/CapacityMemory.h
@@ -14,79 +14,83 @@
 namespace snowrudder
 {
 
-/** What the node that orders replicas remembers between two looks. */
+/** State that the node that orders replicas keeps between two planning runs. */
 struct CapacityMemory
 {
-    struct GivenOrder
+    struct AcceptedOrder
     {
         std::uint32_t replicas = 0;
-        TimePoint given {};
+        TimePoint acceptedAt {};
     };
 
-    using Place = std::pair<std::string, std::string>;
-
-    /** Orders that were taken, by service, failure domain, and whether for reclaimable replicas. */
-    std::map<std::tuple<std::string, std::string, bool>, GivenOrder> given;
-    /** By service and failure domain: until when no more reclaimable replicas are asked for. */
-    std::map<Place, TimePoint> dryUntil;
-    /** Reclaimable replicas that served at the last look, by service and failure domain. */
-    std::map<Place, std::uint32_t> served;
-    /** By service: when reclaims were last seen, or were the reason why an order was refused. */
-    std::map<std::string, TimePoint> reclaimSeen;
-    /** Replicas that each service needs, averaged, and those that it needs to have slots for what runs. */
+    using DomainOfService = std::pair<std::string, std::string>;
+
+    /** Accepted orders, by service, failure domain, and whether they are for reclaimable replicas. */
+    std::map<std::tuple<std::string, std::string, bool>, AcceptedOrder> acceptedOrders;
+    /** By service and failure domain: until when no more reclaimable replicas are ordered. */
+    std::map<DomainOfService, TimePoint> unavailableUntil;
+    /** Reclaimable replicas that served at the last planning run, by service and failure domain. */
+    std::map<DomainOfService, std::uint32_t> lastServing;
+    /** By service: when reclaims were last seen, or an order was last refused because of them. */
+    std::map<std::string, TimePoint> lastReclaims;
+    /** Replicas that each service needs, smoothed: for all its work, and to have a slot for each running request. */
     std::map<std::string, double> needed;
     std::map<std::string, double> neededForSlots;
-    /** The duty's fence that all this was learnt under. */
+    /** Fencing token of the duty under which this state was collected. */
     std::uint64_t fence = 0;
-    /** When the duty was taken over from another node, whose orders are not known; nothing where there was none lately. */
-    std::optional<TimePoint> takenOver;
+    /** When this node took the duty over from another one, whose orders it does not know; empty if no other node held
+        it recently.
+    */
+    std::optional<TimePoint> takenOverAt;
 };
 
-/** Notes what a service was measured to need, in replicas; it rises at once and falls slowly.
+/** Updates the replicas that a service needs with a measured value. The result rises at once and falls slowly.
 
-    @param passed  since the last look
+    @param passed  since the last update
     @returns       replicas needed
 */
-auto noteNeeded (std::map<std::string, double>& needed,
-                 const std::string& service,
-                 double measured,
-                 Duration passed) -> double;
+auto updateNeeded (std::map<std::string, double>& needed,
+                   const std::string& service,
+                   double measured,
+                   Duration passed) -> double;
 
-/** Notes how many reclaimable replicas serve in a failure domain.
+/** Records how many reclaimable replicas serve in a failure domain.
 
-    @returns whether most of them went since the last look although they are ordered: they were reclaimed
+    @returns whether most of them disappeared since the last call although they are still ordered, which means a reclaim
 */
-auto noteServing (CapacityMemory& memory,
-                  const std::string& service,
-                  const std::string& domain,
-                  std::uint32_t serving,
-                  TimePoint now) -> bool;
-
-/** Notes what became of an order. */
-auto noteOrder (CapacityMemory& memory, const CapacityOrder& order, StoreOutcome outcome, TimePoint now)
+auto recordServing (CapacityMemory& memory,
+                    const std::string& service,
+                    const std::string& domain,
+                    std::uint32_t serving,
+                    TimePoint now) -> bool;
+
+/** Records the outcome of an order. */
+auto recordOrder (CapacityMemory& memory, const CapacityOrder& order, StoreOutcome outcome, TimePoint now)
     -> void;
 
-/** @returns whether reclaims of a service's replicas go on: more domains may lose theirs. */
+/** @returns whether a wave of reclaims affects a service, so that more failure domains may lose their reclaimable
+    replicas.
+*/
 auto isReclaimWave (const CapacityMemory& memory, const std::string& service, TimePoint now) -> bool;
 
-/** @returns failure domains where no more of a service's reclaimable replicas are to be had now. */
-auto dryDomains (const CapacityMemory& memory, const std::string& service, TimePoint now)
+/** @returns failure domains where no more reclaimable replicas are available for a service at present. */
+auto unavailableDomains (const CapacityMemory& memory, const std::string& service, TimePoint now)
     -> std::set<std::string>;
 
-/** @returns replicas that the last order taken asks for; 0 where there is none. */
+/** @returns the replicas of the last accepted order; 0 if there is none. */
 auto orderedReplicas (const CapacityMemory& memory,
                       const std::string& service,
                       const std::string& domain,
                       bool isReclaimable) -> std::uint32_t;
 
-/** @returns whether an order is to be given now: it asks for more, for clearly fewer, or what serves still differs from the
-    last one well after the boot time. Who has just taken the duty over asks for no less than serves: more may boot on the
-    orders of the node before it.
+/** @returns whether an order is to be placed now: it asks for more replicas or clearly fewer, or the number that serves
+    still differs from the last order well after the boot time. A node that has just taken the duty over never orders
+    fewer than serve, since more may be booting on the orders of its predecessor.
 */
-auto isDue (const CapacityMemory& memory,
-            const CapacityOrder& order,
-            std::uint32_t serving,
-            Duration bootTime,
-            TimePoint now) -> bool;
+auto isOrderDue (const CapacityMemory& memory,
+                 const CapacityOrder& order,
+                 std::uint32_t serving,
+                 Duration bootTime,
+                 TimePoint now) -> bool;
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/configuration/RoutingConfiguration.cpp
+++ b/modules/snowrudder_serving/configuration/RoutingConfiguration.cpp
@@ -9,10 +9,10 @@
 
 auto addRoute (RoutingConfiguration& configuration, Route route) -> void
 {
-    auto& ofHost = configuration.routes[route.host];
-    const auto place = std::ranges::find_if (ofHost, [&] (const Route& other)
+    auto& hostRoutes = configuration.routes[route.host];
+    const auto place = std::ranges::find_if (hostRoutes, [&] (const Route& other)
                                              { return other.pathPrefix.size() < route.pathPrefix.size(); });
-    ofHost.insert (place, std::move (route));
+    hostRoutes.insert (place, std::move (route));
 }
 
 auto findRoute (const RoutingConfiguration& configuration, std::string_view host, std::string_view path)
@@ -36,32 +36,32 @@
     return found == configuration.accountsByKey.end() ? nullptr : found->second;
 }
 
-auto mostIdleConnections (const RoutingConfiguration& configuration, std::size_t nodes) -> std::size_t
+auto maxIdleConnections (const RoutingConfiguration& configuration, std::size_t nodes) -> std::size_t
 {
-    constexpr auto partForIdle = std::size_t { 2 };
+    constexpr auto idleDivisor = std::size_t { 2 };
     auto most = std::numeric_limits<std::size_t>::max();
 
     for (const auto& [name, service] : configuration.services)
-        if (service.mostConnections > 0)
-            most = std::min (most, service.mostConnections / partForIdle / std::max<std::size_t> (nodes, 1));
+        if (service.maxConnections > 0)
+            most = std::min (most, service.maxConnections / idleDivisor / std::max<std::size_t> (nodes, 1));
 
     return std::max<std::size_t> (most, 1);
 }
 
 auto pickService (const Route& route, double draw) -> const std::string&
 {
-    requireInvariant (! route.services.empty(), "a route names a service");
+    requireInvariant (! route.services.empty(), "a route has at least one service");
 
-    const auto whole =
+    const auto totalWeight =
         std::accumulate (route.services.begin(), route.services.end(), 0.0,
                          [] (double sum, const WeightedService& service) { return sum + service.weight; });
-    auto left = draw * whole;
+    auto remaining = draw * totalWeight;
 
     for (const auto& service : route.services)
     {
-        left -= service.weight;
+        remaining -= service.weight;
 
-        if (left < 0.0)
+        if (remaining < 0.0)
             return service.name;
     }
 
--- /dev/null
+++ b/modules/snowrudder_serving/crashes/CrashMonitor.cpp
@@ -0,0 +1,282 @@
+#include "CrashMonitor.h"
+
+#include <algorithm>
+
+namespace snowrudder
+{
+
+namespace
+{
+
+/** How long an attempt stays unconfirmed: a directory entry expires after three missed heartbeats, and a little later
+    if the store is slow.
+*/
+constexpr auto unconfirmedTimeout = Duration (8s);
+
+/** Maximum number of unconfirmed attempts: the slots of a replica times the replicas of a failure domain. */
+constexpr auto maxUnconfirmed = std::size_t { 512 };
+
+auto toString (CrashVerdict verdict) -> std::string_view
+{
+    switch (verdict)
+    {
+        case CrashVerdict::suspected:
+            return "suspected";
+        case CrashVerdict::undecided:
+            return "undecided";
+        case CrashVerdict::stopped:
+            return "stopped";
+        case CrashVerdict::clear:
+            break;
+    }
+
+    return "clear";
+}
+
+} // namespace
+
+CrashMonitor::CrashMonitor (Metrics& metrics, ReplicaTable& replicaTable, ReplicaNaming replicaNaming)
+    : replicas (replicaTable), naming (replicaNaming),
+      confirmedCrashes (metrics.counter ("snowrudder_crashes_under_requests_total")),
+      requestsStopped (metrics.counter ("snowrudder_requests_stopped_total"))
+{
+}
+
+auto CrashMonitor::examine (SharedProbes& probes, InterruptedAttempt attempt) -> Task<std::string_view>
+{
+    if (replicas.isLeaving (attempt.number))
+        co_return "leaving";
+
+    const auto state = co_await probes.probe (attempt.replica.endpoint);
+
+    const auto listing = replicas.listing (attempt.number);
+
+    // Listed as leaving during the probe: a planned shutdown.
+    if (listing == ReplicaListing::leaving)
+        co_return "leaving";
+
+    if (const auto proof = crashProof (listing, state); ! proof.empty())
+    {
+        confirmCrash (attempt, proof);
+    }
+    else
+    {
+        reportOpenEnd (attempt);
+        addUnconfirmed (std::move (attempt));
+    }
+
+    co_return snowrudder::toString (state);
+}
+
+auto CrashMonitor::recheckUnconfirmed (SharedProbes& probes, TimePoint now) -> void
+{
+    for (const auto& end : crashes.unconfirmedCrashes (now))
+        if (const auto lastAnswer = replicas.lastReportTime (end.replica))
+            crashes.recordAlive (end.replica, *lastAnswer);
+
+    std::vector<InterruptedAttempt> pendingAttempts;
+
+    {
+        const std::lock_guard lock (mutex);
+        pendingAttempts.swap (unconfirmedAttempts);
+    }
+
+    std::unordered_map<ReplicaNumber, std::vector<InterruptedAttempt>> expired;
+
+    for (auto& attempt : pendingAttempts)
+    {
+        const auto listing = replicas.listing (attempt.number);
+
+        if (const auto proof = crashProof (listing, EndpointState::accepts); ! proof.empty())
+            confirmCrash (attempt, proof);
+        else if (listing == ReplicaListing::unlisted)
+            expired[attempt.number].push_back (std::move (attempt));
+        else if (listing == ReplicaListing::listed && now - attempt.ended <= unconfirmedTimeout)
+            addUnconfirmed (std::move (attempt));
+    }
+
+    for (auto& [number, attempts] : expired)
+        asio::co_spawn (probes.executor(), probeExpiredReplica (probes, std::move (attempts)),
+                        asio::detached);
+}
+
+auto CrashMonitor::probeExpiredReplica (SharedProbes& probes, std::vector<InterruptedAttempt> expired)
+    -> Task<void>
+{
+    const auto& replica = expired.front().replica;
+    const auto address = co_await probes.probeListener (replica.endpoint);
+    const auto proof = crashProof (ReplicaListing::unlisted, address);
+
+    LogLine ("lapsed_replica_probed")
+        .with ("replica", replica.name)
+        .with ("address", snowrudder::toString (address))
+        .with ("attempts", expired.size())
+        .with ("crash", proof.empty() ? "no" : "yes")
+        .info();
+
+    if (proof.empty())
+        co_return;
+
+    for (const auto& attempt : expired)
+        confirmCrash (attempt, proof);
+}
+
+auto CrashMonitor::receiveEvidence (const std::vector<CrashEvidence>& received,
+                                    std::string_view from,
+                                    bool shouldForward,
+                                    TimePoint now) -> void
+{
+    auto isNew = false;
+
+    for (const auto& evidence : received)
+    {
+        if (! crashes.merge (evidence, shouldForward, now))
+            continue;
+
+        isNew = true;
+
+        for (const auto& crash : evidence.crashes)
+            replicas.markEnded (crash.replica, crash.at);
+
+        const auto assessment = crashes.assess (evidence.request, now);
+        LogLine ("crashes_heard")
+            .with ("fingerprint", snowrudder::toString (evidence.request))
+            .with ("from", from)
+            .with ("crashes", assessment.crashes)
+            .with ("open_ends", assessment.unconfirmedCrashes)
+            .with ("age_milliseconds", inMilliseconds (now - evidence.lastSeen))
+            .with ("verdict", toString (assessment.verdict))
+            .info();
+    }
+
+    if (isNew && onNewEvidence)
+        onNewEvidence();
+}
+
+auto CrashMonitor::reportStopped (const RequestFingerprint& request,
+                                  std::string_view requestId,
+                                  const CrashAssessment& assessment,
+                                  TimePoint now) -> void
+{
+    crashes.recordStopped (request, now);
+    requestsStopped.add();
+    LogLine ("request_stopped")
+        .with ("request", requestId)
+        .with ("fingerprint", snowrudder::toString (request))
+        .with ("crashes", assessment.crashes)
+        .with ("last_crash_milliseconds", inMilliseconds (now - assessment.lastCrash))
+        .info();
+}
+
+auto CrashMonitor::waitForVerdict (asio::io_context& loop,
+                                   RequestFingerprint request,
+                                   std::string service,
+                                   std::function<bool()> isCancelled) -> Task<CrashAssessment>
+{
+    auto assessment = crashes.assess (request, SteadyClock::now());
+
+    if (shouldPause (assessment))
+    {
+        co_await pauseFor (
+            loop, std::chrono::duration_cast<Duration> (maxPauseFor (assessment) * randomFraction()));
+        assessment = crashes.assess (request, SteadyClock::now());
+    }
+
+    while (assessment.verdict != CrashVerdict::clear &&
+           shouldWait (assessment, suspectConditions (request, service)) && ! isCancelled())
+    {
+        co_await pauseFor (loop, verdictPollInterval);
+        assessment = crashes.assess (request, SteadyClock::now());
+    }
+
+    co_return assessment;
+}
+
+CrashMonitor::RunningAttempt::RunningAttempt (CrashMonitor& crashMonitor, const RequestFingerprint& request)
+    : monitor (crashMonitor), fingerprint (request)
+{
+    const std::lock_guard lock (monitor.mutex);
+    ++monitor.running[fingerprint];
+}
+
+CrashMonitor::RunningAttempt::~RunningAttempt()
+{
+    const std::lock_guard lock (monitor.mutex);
+    const auto found = monitor.running.find (fingerprint);
+
+    if (--found->second == 0)
+        monitor.running.erase (found);
+}
+
+auto publishSizes (Metrics& metrics, const CrashTable::Sizes& sizes) -> void
+{
+    metrics.gauge ("snowrudder_requests_with_crashes", "verdict=\"any\"")
+        .set (static_cast<std::int64_t> (sizes.known));
+    metrics.gauge ("snowrudder_requests_with_crashes", "verdict=\"stopped\"")
+        .set (static_cast<std::int64_t> (sizes.stopped));
+}
+
+auto CrashMonitor::confirmCrash (const InterruptedAttempt& attempt, std::string_view proof) -> void
+{
+    const auto crash = toReplicaCrash (attempt);
+    replicas.markEnded (crash.replica, crash.at);
+    const auto isNew = crashes.recordCrash (attempt.request, attempt.account, crash);
+    const auto assessment = crashes.assess (attempt.request, SteadyClock::now());
+    confirmedCrashes.add();
+    LogLine ("crash_evidence")
+        .with ("request", attempt.requestId)
+        .with ("fingerprint", snowrudder::toString (attempt.request))
+        .with ("service", attempt.replica.service)
+        .with ("account", attempt.account)
+        .with ("replica", attempt.replica.name)
+        .with ("proof", proof)
+        .with ("crashes", assessment.crashes)
+        .with ("verdict", toString (assessment.verdict))
+        .info();
+
+    if (isNew && onNewEvidence)
+        onNewEvidence();
+}
+
+auto CrashMonitor::reportOpenEnd (const InterruptedAttempt& attempt) -> void
+{
+    const auto isNew = crashes.recordUnconfirmedCrash (attempt.request, attempt.account,
+                                                       toReplicaCrash (attempt), SteadyClock::now());
+
+    if (isNew && onNewEvidence)
+        onNewEvidence();
+}
+
+auto CrashMonitor::toReplicaCrash (const InterruptedAttempt& attempt) const -> ReplicaCrash
+{
+    return { incarnationHash (attempt.replica), attempt.ended, naming == ReplicaNaming::uniquePerStart };
+}
+
+auto CrashMonitor::addUnconfirmed (InterruptedAttempt attempt) -> void
+{
+    const std::lock_guard lock (mutex);
+
+    if (! attempt.request.isKnown())
+        return;
+
+    // The oldest attempts are dropped first: they are about to time out, and recent ones carry more information.
+    if (unconfirmedAttempts.size() >= maxUnconfirmed)
+        unconfirmedAttempts.erase (unconfirmedAttempts.begin());
+
+    unconfirmedAttempts.push_back (std::move (attempt));
+}
+
+auto CrashMonitor::suspectConditions (const RequestFingerprint& request, const std::string& service) const
+    -> SuspectContext
+{
+    SuspectContext conditions;
+    constexpr auto scarceShare = 0.5;
+    conditions.areReplicasScarce =
+        replicas.capacity (service, SteadyClock::now()).slots < scarceShare * replicas.totals (service).slots;
+
+    const std::lock_guard lock (mutex);
+    conditions.isRunning = running.contains (request);
+    return conditions;
+}
+
+} // namespace snowrudder
--- a/modules/snowrudder_serving/crashes/SuspectRanking.h
+++ b/modules/snowrudder_serving/crashes/SuspectRanking.h
@@ -10,26 +10,27 @@
 namespace snowrudder
 {
 
-/** Ranks replicas for a request under which replicas ended by the request's fingerprint in place of its prompt. All nodes send
-    its repeats to the same replica, so that one ends at a time, and requests that were cut together go on at different ones. One
-    that may be fatal keeps to its own part of the replicas while one of those is usable.
+/** Ranks replicas by a request's fingerprint instead of its prompt if replicas crashed while they ran the request.
+    All nodes then send repeats of the request to the same replica, so that only one crashes at a time, and requests
+    that were interrupted together continue on different replicas. A request that may be fatal is confined to its own
+    subset of the replicas as long as one of them is usable.
 */
 class SuspectRanking
 {
 public:
     SuspectRanking (const CrashTable& crashes,
                     const RequestFingerprint& request,
-                    const CrashJudgement& judgement,
+                    const CrashAssessment& assessment,
                     double promptTokens)
-        : isSuspect (judgement.verdict != CrashVerdict::clear), block { anchorOf (request) }, blockTokens {
-              std::max (promptTokens, leastTokens)
-          }
+        : isSuspect (assessment.verdict != CrashVerdict::clear), block { rankingHash (request) },
+          blockTokens { std::max (promptTokens, minimumTokens) }
     {
-        if (isSuspect && judgement.crashes >= crashesToPause)
-            others = crashes.suspectAnchors();
+        if (isSuspect && assessment.crashes >= crashesToPause)
+            otherSuspects = crashes.suspectRankingHashes();
     }
 
-    /** Changes nothing for a request that is clear. The input refers to this object from then on. */
+    /** Replaces the prompt in the input, unless the verdict is clear. The input then holds references to this object.
+    */
     auto applyTo (ChoiceInput& input) const -> void
     {
         if (! isSuspect)
@@ -40,17 +41,17 @@
         input.anchorBlock = 0;
         input.promptTokens = blockTokens.front();
         input.ownTokens = 0.0;
-        input.apartFrom = others;
+        input.separatedFrom = otherSuspects;
     }
 
 private:
-    /** What a prompt has at least, for its rank to weigh more than small differences of load. */
-    static constexpr auto leastTokens = 2000.0;
+    /** Lower bound for the prompt's tokens, so that the ranking outweighs small differences in load. */
+    static constexpr auto minimumTokens = 2000.0;
 
     bool isSuspect = false;
     std::array<std::uint64_t, 1> block;
     std::array<double, 1> blockTokens;
-    std::vector<std::uint64_t> others;
+    std::vector<std::uint64_t> otherSuspects;
 };
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/duties/CapacityLoop.cpp
+++ b/modules/snowrudder_serving/duties/CapacityLoop.cpp
@@ -8,37 +8,37 @@
 namespace
 {
 
-/** A reclaimed replica leaves 2 s after its notice, and an on-demand one serves 4 s after its order. */
+/** Planning interval. A reclaimed replica leaves 2 s after its notice, and an on-demand one serves 4 s after its order.
+*/
 constexpr auto tick = 500ms;
 
-/** The part of a replica's time that may go to prompts when first tokens are to come in time. Flat from 0.3 to 0.45 with targets
-    of 250 to 500 ms (mean worth of six days, two seeds each: 0.527, 0.524; 0.517 at 0.55).
+/** Fraction of a replica's time that prompts may take if first tokens are to meet their latency target. With targets of
+    250 to 500 ms the mean score is nearly the same from 0.3 to 0.45 (0.527 and 0.524), and lower at 0.55 (0.517).
 */
-constexpr auto busyShare = 0.3;
+constexpr auto targetUtilization = 0.3;
 
-/** Of the replicas' slots, the part that may be taken on average: beyond it requests of a replica that many sessions share
-    wait for a slot. Measured with 40 replicas of 16 slots, see docs/design/capacity.md.
+/** Fraction of the replicas' slots that may be occupied on average. Above it, requests to a replica that many sessions
+    share wait for a slot. Measured with 40 replicas of 16 slots, see docs/design/capacity.md.
 */
-constexpr auto takenShare = 0.5;
+constexpr auto targetSlotOccupancy = 0.5;
 
-/** Replicas on top, so that a small service's long prompts don't all meet its short ones. */
-constexpr auto leastSpare = 1.0;
+/** Additional replicas, so that the long prompts of a small service don't delay all of its short ones. */
+constexpr auto spareReplicas = 1.0;
 
-/** While reclaims go on, so many failure domains more may lose their reclaimable replicas before on-demand ones boot. */
+/** Number of further failure domains that may lose their reclaimable replicas in a wave before on-demand ones boot. */
 constexpr auto domainsAtRisk = std::size_t { 2 };
 
-/** On-demand replicas cost five to seven times as much as reclaimable ones, as seen so far, so that headroom is bought with the
-    latter only: in a wave of reclaims, 13 of 19 that were needed with headroom served nobody late.
+/** Fraction of the need for which on-demand replicas are ordered. They cost five to seven times as much as reclaimable
+    ones, so headroom consists of the latter only: in a wave of reclaims, 13 of the 19 replicas needed with headroom
+    served no request late.
 */
 constexpr auto onDemandShare = 0.45;
 
-/** A holder that was seen within this was the one before: nodes that wait for the duties look at least every 8 s. */
-constexpr auto predecessorTime = Duration (12s);
+/** Another holder seen within this time was the predecessor: nodes that wait for the duties check at least every 8 s. */
+constexpr auto recentHolderTime = Duration (12s);
 
-/** Replicas enter themselves in the store within their first two heartbeats (1.2 s each); what is found before
-    is not all that there is.
-*/
-constexpr auto settleTime = Duration (2500ms);
+/** Replicas register in the store within their first two heartbeats (1.2 s each); the directory is incomplete before. */
+constexpr auto registrationTime = Duration (2500ms);
 
 auto servingOf (const ReplicaDirectory& directory, const std::string& service)
     -> std::map<std::string, DomainCapacity>
@@ -57,55 +57,58 @@
     return serving;
 }
 
-/** What a service needs for the work of all nodes, in replicas. */
+/** Replicas that a service needs for the work of all nodes. */
 struct MeasuredNeed
 {
-    /** To read prompts in time and have a slot for each request, with some to spare. */
+    /** To process prompts in time and have a slot for each request, with some to spare. */
     double all = 0.0;
     /** To have a slot for each request. */
     double forSlots = 0.0;
 };
 
-/** @returns prompt tokens that a service's replicas read a millisecond, as this node and the others learnt it. */
-auto learntSpeed (const ServingState& state, const std::string& service, TimePoint now)
+/** @returns the prompt tokens that a service's replicas process per millisecond, as measured by the other nodes or this
+    one.
+*/
+auto learnedPromptSpeed (const ServingState& state, const std::string& service, TimePoint now)
     -> std::optional<double>
 {
-    const auto ofOthers = state.peers.work (service, now).promptSpeed;
-    return ofOthers ? ofOthers : state.replicas.promptSpeed (service);
+    const auto fromOthers = state.peers.work (service, now).promptSpeed;
+    return fromOthers ? fromOthers : state.replicas.promptSpeed (service);
 }
 
 /** @returns nothing before the first traffic. */
-auto measureNeeded (const ServingState& state, const std::string& service, TimePoint now)
+auto measureNeed (const ServingState& state, const std::string& service, TimePoint now)
     -> std::optional<MeasuredNeed>
 {
     const auto replicas = state.replicas.totals (service);
     auto work = state.peers.work (service, now);
-    work.tokensPerSecond += state.work.of (service, now);
+    work.tokensPerSecond += state.work.tokensPerSecond (service, now);
     work.inFlight += replicas.inFlight;
 
     if (work.tokensPerSecond <= 0.0)
         return {};
 
     constexpr auto thousand = 1000.0;
-    const auto speed = learntSpeed (state, service, now);
-    auto forPrompts = work.tokensPerSecond / (speed.value_or (startPromptSpeed) * thousand * busyShare);
+    const auto speed = learnedPromptSpeed (state, service, now);
+    auto forPrompts =
+        work.tokensPerSecond / (speed.value_or (initialPromptSpeed) * thousand * targetUtilization);
 
-    // Until the speed is known, what was found there is taken as set up for it.
+    // Until the speed is known, the existing replicas are assumed to be sized for the load.
     if (! speed)
         forPrompts = std::min (forPrompts, replicas.replicas);
 
     const auto slots = replicas.slots / std::max (1.0, replicas.replicas);
     const auto forSlots =
-        replicas.replicas > 0.0 ? work.inFlight / (std::max (1.0, slots) * takenShare) : 0.0;
-    return MeasuredNeed { std::max (forPrompts, forSlots) + leastSpare, forSlots };
+        replicas.replicas > 0.0 ? work.inFlight / (std::max (1.0, slots) * targetSlotOccupancy) : 0.0;
+    return MeasuredNeed { std::max (forPrompts, forSlots) + spareReplicas, forSlots };
 }
 
-auto give (ServingState& state, const DutyCalls& calls, CapacityMemory& memory, CapacityOrder order)
+auto placeOrder (ServingState& state, const DutyCalls& calls, CapacityMemory& memory, CapacityOrder order)
     -> Task<void>
 {
     const auto now = SteadyClock::now();
 
-    if (! mayAct (state.leadership, state.leadershipTimes, now))
+    if (! mayCallDuty (state.leadership, state.leadershipTimes, now))
         co_return;
 
     const DutyHolder holder { state.settings.node, state.leadership.fence };
@@ -116,24 +119,24 @@
         .with ("reclaimable", order.isReclaimable ? "yes" : "no")
         .with ("replicas", order.replicas)
         .with ("needed", memory.needed[order.service])
-        .with ("prompt_speed", learntSpeed (state, order.service, now).value_or (0.0))
+        .with ("prompt_speed", learnedPromptSpeed (state, order.service, now).value_or (0.0))
         .with ("fence", holder.fence)
         .with ("outcome", toString (outcome))
         .info();
 
-    noteOrder (memory, order, outcome, now);
+    recordOrder (memory, order, outcome, now);
 }
 
-/** Notes what serves in each failure domain, and whether reclaimable replicas were taken away. */
-auto noteReclaims (CapacityMemory& memory, const std::string& service, CapacityInput& input, TimePoint now)
+/** Records the serving replicas of each failure domain and detects reclaims. */
+auto detectReclaims (CapacityMemory& memory, const std::string& service, CapacityInput& input, TimePoint now)
     -> void
 {
     for (const auto& [domain, price] : input.bounds.domainPrices)
     {
         const auto serving = input.serving[domain].reclaimable;
-        const auto before = memory.served[{ service, domain }];
+        const auto before = memory.lastServing[{ service, domain }];
 
-        if (noteServing (memory, service, domain, serving, now))
+        if (recordServing (memory, service, domain, serving, now))
             LogLine ("reclaim_seen")
                 .with ("service", service)
                 .with ("failure_domain", domain)
@@ -156,21 +159,21 @@
     input.bounds = *service.scaling;
     input.serving = servingOf (state.directory, service.name);
     input.onDemandShare = onDemandShare;
-    auto found = 0.0;
+    auto existing = 0.0;
 
     for (const auto& [domain, capacity] : input.serving)
-        found += capacity.onDemand + capacity.reclaimable;
+        existing += capacity.onDemand + capacity.reclaimable;
 
-    const auto measured = measureNeeded (state, service.name, now);
+    const auto measured = measureNeed (state, service.name, now);
 
-    // Whoever set up what is found knew the load; before the first traffic there is nothing else to go by.
+    // Whoever set up the existing replicas knew the load; before the first traffic there is no other measure.
     if (! memory.needed.contains (service.name))
-        memory.needed[service.name] = found;
+        memory.needed[service.name] = existing;
 
     if (measured)
     {
-        noteNeeded (memory.needed, service.name, measured->all, tick);
-        noteNeeded (memory.neededForSlots, service.name, measured->forSlots, tick);
+        updateNeeded (memory.needed, service.name, measured->all, tick);
+        updateNeeded (memory.neededForSlots, service.name, measured->forSlots, tick);
     }
 
     input.needed = memory.needed[service.name];
@@ -179,8 +182,8 @@
     for (const auto& [domain, price] : input.bounds.domainPrices)
         input.orderedOnDemand[domain] = orderedReplicas (memory, service.name, domain, false);
 
-    noteReclaims (memory, service.name, input, now);
-    input.dry = dryDomains (memory, service.name, now);
+    detectReclaims (memory, service.name, input, now);
+    input.withoutReclaimable = unavailableDomains (memory, service.name, now);
     return input;
 }
 
@@ -197,21 +200,21 @@
     {
         const auto serving = input.serving[domain];
 
-        // Reclaimable replicas first: on-demand ones are given up only when enough of the others serve.
+        // Reclaimable replicas first: on-demand ones are released only when enough of the others serve.
         CapacityOrder reclaimable { service.name, domain, true, wanted.reclaimable };
         CapacityOrder onDemand { service.name, domain, false, wanted.onDemand };
 
-        // The replicas of a new version stand beside the old ones until one of them goes.
+        // Replicas of a new version run beside the old ones until the roll-out ends.
         const auto isFall = wanted.reclaimable < serving.reclaimable || wanted.onDemand < serving.onDemand;
 
-        if (isFall && state.rollouts.table.isMoving (service.name))
+        if (isFall && state.rollouts.table.hasOpenRollout (service.name))
             continue;
 
-        if (isDue (memory, reclaimable, serving.reclaimable, bootTime, now))
-            co_await give (state, calls, memory, std::move (reclaimable));
+        if (isOrderDue (memory, reclaimable, serving.reclaimable, bootTime, now))
+            co_await placeOrder (state, calls, memory, std::move (reclaimable));
 
-        if (isDue (memory, onDemand, serving.onDemand, bootTime, now))
-            co_await give (state, calls, memory, std::move (onDemand));
+        if (isOrderDue (memory, onDemand, serving.onDemand, bootTime, now))
+            co_await placeOrder (state, calls, memory, std::move (onDemand));
     }
 }
 
@@ -233,20 +236,20 @@
         if (state.hasReplicas && firstSeen == TimePoint())
             firstSeen = now;
 
-        if (! configuration || ! state.hasReplicas || now - firstSeen < settleTime)
+        if (! configuration || ! state.hasReplicas || now - firstSeen < registrationTime)
             continue;
 
-        if (! mayAct (state.leadership, state.leadershipTimes, now))
+        if (! mayCallDuty (state.leadership, state.leadershipTimes, now))
             continue;
 
         if (memory.fence != state.leadership.fence)
         {
             memory = CapacityMemory();
             memory.fence = state.leadership.fence;
-            const auto& otherSeen = state.leadership.otherSeen;
+            const auto& otherHolderSeen = state.leadership.otherHolderSeen;
 
-            if (otherSeen && now - *otherSeen < predecessorTime)
-                memory.takenOver = now;
+            if (otherHolderSeen && now - *otherHolderSeen < recentHolderTime)
+                memory.takenOverAt = now;
         }
 
         for (const auto& [name, service] : configuration->services)
--- a/modules/snowrudder_serving/duties/LeadershipLoop.cpp
+++ b/modules/snowrudder_serving/duties/LeadershipLoop.cpp
@@ -7,37 +7,37 @@
 namespace
 {
 
-/** A watch for the holder's going is renewed this often. */
+/** Longest watch for the removal of the holder's item before it is renewed. */
 constexpr auto watchTime = Duration (8s);
 constexpr auto failurePause = 300ms;
 
-/** A node that does not read the store itself, or does not know yet, leaves the duties to those that do: the other nodes'
-    work and usage come to readers. It looks this often whether it still does not.
+/** A node that is not a reader, or does not know yet whether it is one, leaves the duties to readers, because the work
+    and usage of the other nodes is reported to readers. This is how often it checks whether it has become one.
 */
-constexpr auto idlePause = 1s;
+constexpr auto nonReaderPause = 1s;
 
-/** Renews the lease, and waits until it is to be renewed again. */
-auto renewAndRest (ServingState& state, const StateStore& store) -> Task<void>
+/** Renews the lease, and waits until the next renewal. */
+auto renewAndWait (ServingState& state, const StateStore& store) -> Task<void>
 {
-    const auto asked = SteadyClock::now();
+    const auto sentAt = SteadyClock::now();
     const auto outcome = co_await store.renewLease (state.leadership.lease);
-    noteRenewal (state.leadership, outcome, state.leadershipTimes, asked);
+    recordRenewal (state.leadership, outcome, state.leadershipTimes, sentAt);
 
     const auto now = SteadyClock::now();
 
     if (state.leadership.fence != 0 && now >= state.leadership.leaseEnd)
-        noteLost (state.leadership, "lease_may_have_ended", now);
+        recordLoss (state.leadership, "lease_may_have_ended", now);
 
     co_await pauseFor (state.loop, state.leadershipTimes.renewal);
 }
 
-/** Tries to take the duties where nobody has them. */
-auto compete (ServingState& state, const StateStore& store) -> Task<void>
+/** Tries to acquire the duties when no node holds them. */
+auto tryToAcquire (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
-    const auto asked = SteadyClock::now();
+    const auto sentAt = SteadyClock::now();
 
-    if (own.lease == 0 || asked >= own.leaseEnd)
+    if (own.lease == 0 || sentAt >= own.leaseEnd)
     {
         const auto granted = co_await store.grantLease (state.leadershipTimes.lease);
 
@@ -45,41 +45,41 @@
             co_return;
 
         own.lease = granted.lease;
-        own.leaseEnd = asked + std::min (granted.length, state.leadershipTimes.lease);
+        own.leaseEnd = sentAt + std::min (granted.length, state.leadershipTimes.lease);
     }
 
-    auto take = makeCreation (std::string (leaderKey), own.token, own.lease);
+    auto take = makeCreateTransaction (std::string (leaderKey), own.token, own.lease);
     const auto taken = co_await store.commit (std::move (take));
 
     if (taken.outcome == StoreOutcome::done && SteadyClock::now() < own.leaseEnd)
-        noteHeld (own, taken.revision);
+        recordAcquisition (own, taken.revision);
 }
 
-/** Looks who has the duties; competes, or waits for a change. */
-auto lookForVacancy (ServingState& state, const StateStore& store) -> Task<void>
+/** Reads who holds the duties, and competes for them or waits for a change. */
+auto waitForVacancy (ServingState& state, const StateStore& store) -> Task<void>
 {
     auto& own = state.leadership;
-    const auto read = co_await store.read (std::string (leaderKey), ReadAge::newest);
+    const auto read = co_await store.read (std::string (leaderKey), ReadFreshness::newest);
 
-    if (! isAnswer (read.outcome))
+    if (! isConclusive (read.outcome))
     {
         co_await pauseFor (state.loop, jittered (failurePause));
         co_return;
     }
 
-    const auto* holder = standingItem (read.items);
+    const auto* holder = existingItem (read.items);
 
-    // A call of this node's own whose answer was lost took the duties.
+    // An earlier call of this node acquired the duties, and its response was lost.
     if (holder != nullptr && holder->value == own.token && holder->lease == own.lease && own.lease != 0 &&
         SteadyClock::now() < own.leaseEnd)
     {
-        noteHeld (own, holder->revision);
+        recordAcquisition (own, holder->revision);
         co_return;
     }
 
     if (holder != nullptr)
     {
-        own.otherSeen = SteadyClock::now();
+        own.otherHolderSeen = SteadyClock::now();
         const auto changed = co_await store.watch (std::string (leaderKey), read.revision, watchTime);
 
         if (changed.outcome != StoreOutcome::done)
@@ -89,22 +89,22 @@
     }
 
     if (mayCompete (own, state.leadershipTimes, SteadyClock::now()) && ! state.leaving)
-        co_await compete (state, store);
+        co_await tryToAcquire (state, store);
     else
         co_await pauseFor (state.loop, failurePause);
 }
 
-/** Gives the duties up while this node goes on. */
+/** Releases the duties while this node keeps running. */
 auto endLeadership (ServingState& state, const StateStore& store, std::string_view reason) -> Task<void>
 {
     const auto lease = state.leadership.lease;
     const auto wasHeld = state.leadership.fence != 0;
-    noteLost (state.leadership, reason, SteadyClock::now());
+    recordLoss (state.leadership, reason, SteadyClock::now());
 
     if (! wasHeld)
         co_return;
 
-    // A call of a duty that is on its way must arrive before a successor's first.
+    // A duty call that is under way must arrive before the successor's first.
     co_await pauseFor (state.loop, state.leadershipTimes.call);
     co_await store.endLease (lease);
 }
@@ -115,20 +115,20 @@
 {
     while (! state.leaving)
     {
-        const auto isReader = state.sharing.members && state.news.isReader;
+        const auto isReader = state.sharing.members && state.storeUpdates.isReader;
 
         if (state.leadership.fence != 0 && isReader)
-            co_await renewAndRest (state, store);
+            co_await renewAndWait (state, store);
         else if (state.leadership.fence != 0)
             co_await endLeadership (state, store, "no_reader_any_more");
         else if (! isReader)
-            co_await pauseFor (state.loop, idlePause);
+            co_await pauseFor (state.loop, nonReaderPause);
         else
-            co_await lookForVacancy (state, store);
+            co_await waitForVacancy (state, store);
     }
 }
 
-auto giveUpLeadership (ServingState& state, const StateStore& store) -> Task<void>
+auto releaseLeadership (ServingState& state, const StateStore& store) -> Task<void>
 {
     return endLeadership (state, store, "stopping");
 }
--- a/modules/snowrudder_serving/duties/UsageReportLoop.cpp
+++ b/modules/snowrudder_serving/duties/UsageReportLoop.cpp
@@ -17,8 +17,8 @@
 
 constexpr auto tick = 500ms;
 
-/** Counts and records are kept for longer than anybody looks back. */
-constexpr auto keepTime = 2 * usageLookBack;
+/** How long counts and their records in the store are kept; longer than any holder looks back. */
+constexpr auto retentionTime = 2 * usageReportHorizon;
 
 auto usageKey (std::uint64_t window) -> std::string
 {
@@ -46,16 +46,16 @@
     return counts;
 }
 
-/** Writes a window's counts down, or finds those that an earlier holder wrote.
+/** Writes the counts of a window to the store, or reads those that an earlier holder wrote.
 
-    @returns nothing when the store did not answer
+    @returns nothing if the store did not respond
 */
-auto settleCounts (ServingState& state, const StateStore& store, std::uint64_t window)
+auto persistCounts (ServingState& state, const StateStore& store, std::uint64_t window)
     -> Task<std::optional<AccountCounts>>
 {
-    const auto counts = state.usageOfOthers.ofAll (window, state.usage.countsOf (window));
-    auto record = makeCreation (usageKey (window), writeCounts (counts));
-    const auto keptWindows = static_cast<std::uint64_t> (keepTime / state.settings.usageWindow);
+    const auto counts = state.usageOfOthers.countsOfAllNodes (window, state.usage.countsOf (window));
+    auto record = makeCreateTransaction (usageKey (window), writeCounts (counts));
+    const auto keptWindows = static_cast<std::uint64_t> (retentionTime / state.settings.usageWindow);
 
     if (window > keptWindows)
         record.removals.push_back (usageKey (window - keptWindows));
@@ -66,7 +66,7 @@
         co_return counts;
 
     if (result.outcome == StoreOutcome::refused)
-        if (const auto* earlier = standingItem (result.items))
+        if (const auto* earlier = existingItem (result.items))
             co_return readCounts (earlier->value);
 
     co_return std::nullopt;
@@ -75,9 +75,9 @@
 auto reportWindow (ServingState& state, const StateStore& store, const DutyCalls& calls, std::uint64_t window)
     -> Task<StoreOutcome>
 {
-    const auto counts = co_await settleCounts (state, store, window);
+    const auto counts = co_await persistCounts (state, store, window);
 
-    if (! counts || ! mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()))
+    if (! counts || ! mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()))
         co_return StoreOutcome::unknown;
 
     const DutyHolder holder { state.settings.node, state.leadership.fence };
@@ -91,13 +91,13 @@
     co_return outcome;
 }
 
-/** Looks up which windows earlier holders settled.
+/** Reads the last window whose counts an earlier holder wrote to the store.
 
-    @returns whether the store answered
+    @returns whether the store responded
 */
-auto readSettled (UsageSchedule& schedule, const StateStore& store) -> Task<bool>
+auto readLastPersistedWindow (UsageSchedule& schedule, const StateStore& store) -> Task<bool>
 {
-    const auto listed = co_await store.list (std::string (usagePrefix), ReadAge::newest);
+    const auto listed = co_await store.list (std::string (usagePrefix), ReadFreshness::newest);
 
     if (listed.outcome != StoreOutcome::done)
         co_return false;
@@ -108,7 +108,7 @@
         const auto* const end = item.key.data() + item.key.size();
 
         if (std::from_chars (item.key.data() + usagePrefix.size(), end, window).ptr == end)
-            schedule.settledBefore = std::max (schedule.settledBefore.value_or (window), window);
+            schedule.lastPersistedWindow = std::max (schedule.lastPersistedWindow.value_or (window), window);
     }
 
     co_return true;
@@ -121,26 +121,26 @@
     UsageSchedule schedule;
     auto fence = std::uint64_t { 0 };
     schedule.started = state.trueTime.now (SteadyClock::now());
-    state.usage.noteRunning (schedule.started);
+    state.usage.recordRunning (schedule.started);
 
     for (;;)
     {
         co_await pauseFor (state.loop, tick);
 
         const auto now = state.trueTime.now (SteadyClock::now());
-        state.usage.noteRunning (now);
-        const auto oldestKept = state.usage.windowOf (now - keepTime);
+        state.usage.recordRunning (now);
+        const auto oldestKept = state.usage.windowOf (now - retentionTime);
         state.usage.dropBefore (oldestKept);
         state.usageOfOthers.dropBefore (oldestKept);
         schedule.reported.erase (schedule.reported.begin(), schedule.reported.lower_bound (oldestKept));
 
-        if (mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()) &&
-            state.leadership.fence != fence && co_await readSettled (schedule, store))
+        if (mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()) &&
+            state.leadership.fence != fence && co_await readLastPersistedWindow (schedule, store))
             fence = state.leadership.fence;
 
         for (const auto window : windowsDue (schedule, state.usage, state.usageOfOthers, now))
         {
-            if (! mayAct (state.leadership, state.leadershipTimes, SteadyClock::now()))
+            if (! mayCallDuty (state.leadership, state.leadershipTimes, SteadyClock::now()))
                 break;
 
             const auto outcome = co_await reportWindow (state, store, calls, window);
@@ -148,8 +148,9 @@
             if (outcome == StoreOutcome::done)
                 schedule.reported.insert (window);
 
-            // Later windows wait: a successor takes those before the last one settled as reported.
-            if (! isAnswer (outcome))
+            // Later windows wait, since a successor assumes that all windows before the last persisted one were
+            // reported.
+            if (! isConclusive (outcome))
                 break;
         }
     }
--- a/modules/snowrudder_serving/gateway/RoutedGateway.cpp
+++ b/modules/snowrudder_serving/gateway/RoutedGateway.cpp
@@ -1,6 +1,6 @@
 #include "RoutedGateway.h"
 
-#include "../relay/RoutedRun.h"
+#include "../relay/RoutedRequestRunner.h"
 
 namespace snowrudder
 {
@@ -8,26 +8,31 @@
 namespace
 {
 
-/** A node without a configuration, or without a proof of its freshness, looks for one several times a second. */
-constexpr auto freshnessRetry = 500ms;
+/** Retry delay while the node lacks a configuration or a proof of its freshness, which it polls several times a
+    second.
+*/
+constexpr auto freshnessRetryDelay = 500ms;
 
-/** A node that starts has its configuration, the replicas and the list of nodes 15 to 110 ms later (seven nodes started
-    together); 440 to 520 ms later with a large configuration and a tenth of a core or 20 Mbit/s (69 of 77). Until then it lets
-    requests wait rather than send them away for longer; beyond this it tells them to come back.
+/** How long after the node's start requests wait for it to become ready; later ones are refused with a retry delay.
+    Waiting is shorter for the caller than a retry. A starting node has its configuration, the replicas and the list
+    of nodes after 15 to 110 ms when seven nodes start together, and after 440 to 520 ms on a tenth of a core or 20
+    Mbit/s with a large configuration (69 of 77 nodes).
 */
-constexpr auto startPatience = 600ms;
+constexpr auto startWaitLimit = 600ms;
 
-/** Of the time that a caller gives, the part that its request may wait for a node that has just started. */
-constexpr auto startShareOfPatience = 0.25;
+/** The share of the caller's time limit that a request may spend waiting for a node that has just started. */
+constexpr auto startShareOfTimeLimit = 0.25;
 
-/** How often a waiting request looks whether its node can decide. */
-constexpr auto startLook = 5ms;
+/** How often a waiting request polls whether the node is ready to admit it. */
+constexpr auto startPollInterval = 5ms;
 
-/** Another node takes the request as soon as the caller asks it. */
-constexpr auto leavingRetry = 10ms;
+/** Retry delay of a node that shuts down: another node can take the request at once. */
+constexpr auto leavingRetryDelay = 10ms;
 
-/** @returns the account of a request that names a valid key, or why it is refused. */
-auto accountOf (const ServingState& state, const CallerRequest& caller, const Route& route, TimePoint now)
+/** @returns the client account to which the request's key belongs, null if the route needs none, or why the request
+    is refused.
+*/
+auto authenticate (const ServingState& state, const CallerRequest& caller, const Route& route, TimePoint now)
     -> std::variant<std::shared_ptr<const RoutedAccount>, Problem>
 {
     const auto& configuration = *state.configuration.current;
@@ -37,7 +42,7 @@
 
     if (! isFresh (state.configuration, state.freshness, now))
         return withRetry (makeProblem (ErrorKind::noReplica, "the configuration may be out of date"),
-                          freshnessRetry);
+                          freshnessRetryDelay);
 
     auto account = findAccount (configuration, caller.key);
 
@@ -47,35 +52,43 @@
     return account;
 }
 
-auto tokensOf (const CallerRequest& caller, const RoutedAccount& account) -> double
+/** @returns the number of tokens that a request is charged to its account's limit. */
+auto quotaTokens (const CallerRequest& caller, const RoutedAccount& account) -> double
 {
-    return caller.statesTokens ? caller.promptTokens + caller.answerTokens : account.plainTokens;
+    return caller.hasTokenCounts ? caller.promptTokens + caller.answerTokens : account.plainTokens;
 }
 
-/** @returns why a request is not taken that ended the replicas that ran it. It takes nothing from its account's limit. */
+/** @returns a refusal if the request crashes the replicas that run it. Such a request is not charged to its account's
+    limit.
+*/
 auto checkCrashes (ServingState& state,
                    const CallerRequest& caller,
                    const RequestFingerprint& fingerprint,
                    TimePoint now) -> std::optional<Problem>
 {
-    const auto judgement = state.crashes.judge (fingerprint, now);
+    const auto assessment = state.crashes.assess (fingerprint, now);
 
-    if (judgement.verdict != CrashVerdict::stopped)
+    if (assessment.verdict != CrashVerdict::stopped)
         return {};
 
-    state.crashes.noteStopped (fingerprint, caller.id, judgement, now);
+    state.crashes.reportStopped (fingerprint, caller.id, assessment, now);
     return makeProblem (ErrorKind::crashesReplicas, "fingerprint " + toString (fingerprint));
 }
 
+/** @returns a refusal if the request would exceed its account's limit.
+
+    @param isSecondCheck  whether it was refused before and has waited; see QuotaBounds
+*/
 auto checkQuota (ServingState& state,
                  const CallerRequest& caller,
                  const RoutedAccount& account,
-                 bool isAskedAgain,
+                 bool isSecondCheck,
                  TimePoint now) -> std::optional<Problem>
 {
-    auto bounds = quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, drawJitter(), now);
-    bounds.isAskedAgain = isAskedAgain;
-    const auto admission = state.quota.admit (account, tokensOf (caller, account), bounds, now);
+    auto bounds =
+        quotaBounds (state.sharing, state.peers, state.settings.quotaTolerance, randomFraction(), now);
+    bounds.isAdmissionRetry = isSecondCheck;
+    const auto admission = state.quota.admit (account, quotaTokens (caller, account), bounds, now);
 
     if (admission.admitted)
         return {};
@@ -104,63 +117,65 @@
         .info();
 }
 
-/** @returns until when a request may wait for a node that has just started. */
+/** @returns until when a request may wait for a node that has just started: `latest`, or earlier if the caller's time
+    limit is short.
+*/
 auto startWaitEnd (const CallerRequest& caller, TimePoint arrived, TimePoint latest) -> TimePoint
 {
-    if (! caller.patience)
+    if (! caller.timeLimit)
         return latest;
 
-    const auto ofCaller = std::chrono::duration_cast<Duration> (*caller.patience * startShareOfPatience);
+    const auto ofCaller = std::chrono::duration_cast<Duration> (*caller.timeLimit * startShareOfTimeLimit);
     return std::min (latest, arrived + ofCaller);
 }
 
-/** Lets a request wait until its node knows what it lacks.
+/** Delays a request until the node has the data that it needs, or until `end`.
 
-    @param lacked  for the log
-    @param knows   whether it knows it
+    @param missing  name of that data, for the log
+    @param isReady  whether the node has it
 */
-auto waitUntilKnown (const ServingState& state,
+auto waitUntilReady (const ServingState& state,
                      const CallerRequest& caller,
                      TimePoint end,
-                     std::string_view lacked,
-                     std::function<bool()> knows) -> Task<void>
+                     std::string_view missing,
+                     std::function<bool()> isReady) -> Task<void>
 {
     const auto began = SteadyClock::now();
 
-    if (knows() || began >= end)
+    if (isReady() || began >= end)
         co_return;
 
-    while (! knows() && SteadyClock::now() < end)
-        co_await pauseFor (state.loop, startLook);
+    while (! isReady() && SteadyClock::now() < end)
+        co_await pauseFor (state.loop, startPollInterval);
 
     LogLine ("waited_for_start")
         .with ("request", caller.id)
-        .with ("lacked", lacked)
+        .with ("lacked", missing)
         .with ("milliseconds", inMilliseconds (SteadyClock::now() - began))
-        .with ("can_decide", knows() ? "yes" : "no")
+        .with ("can_decide", isReady() ? "yes" : "no")
         .info();
 }
 
-/** Lets a request wait until a node that has just started can decide on it. */
+/** Delays a request until a node that has just started is able to admit or refuse it. */
 auto waitForStart (const ServingState& state, const CallerRequest& caller, TimePoint arrived) -> Task<void>
 {
-    const auto end = startWaitEnd (caller, arrived, state.sharing.startTime + startPatience);
-    return waitUntilKnown (
+    const auto end = startWaitEnd (caller, arrived, state.sharing.startTime + startWaitLimit);
+    return waitUntilReady (
         state, caller, end, "configuration",
         [&state] { return state.configuration.current && state.hasReplicas && state.sharing.members; });
 }
 
-/** @returns whether this node knows what the others admit. */
-auto knowsLimits (const ServingState& state) -> bool
+/** @returns whether this node has received what the other nodes admit. */
+auto hasSettledLimits (const ServingState& state) -> bool
 {
     return isSettled (state.sharing, state.peers, SteadyClock::now());
 }
 
-/** Lets a request that was refused for its account's limit wait until this node knows what the others admit. */
+/** Delays a request that was refused by its account's limit until this node has received what the other nodes admit. */
 auto waitForLimits (const ServingState& state, const CallerRequest& caller, TimePoint arrived) -> Task<void>
 {
-    const auto end = startWaitEnd (caller, arrived, SteadyClock::now() + limitsPatience);
-    return waitUntilKnown (state, caller, end, "limits", [&state] { return knowsLimits (state); });
+    const auto end = startWaitEnd (caller, arrived, SteadyClock::now() + maxSettlingWait);
+    return waitUntilReady (state, caller, end, "limits", [&state] { return hasSettledLimits (state); });
 }
 
 auto isOverLimit (const std::variant<RoutedRequest, Problem>& admitted) -> bool
@@ -171,26 +186,26 @@
 
 } // namespace
 
-auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isAskedAgain, TimePoint now)
+auto admit (ServingState& state, CallerRequest& caller, TimePoint arrived, bool isSecondCheck, TimePoint now)
     -> std::variant<RoutedRequest, Problem>
 {
     RoutedRequest request;
     request.configuration = state.configuration.current;
     request.accepted = arrived;
 
-    // Too late to be sure of an end within the grace time; another node is asked at once.
+    // The request might not end within the grace time, so the caller is sent to another node at once.
     if (state.isDrained)
-        return withRetry (makeProblem (ErrorKind::nodeLeaving), leavingRetry);
+        return withRetry (makeProblem (ErrorKind::nodeLeaving), leavingRetryDelay);
 
     if (! request.configuration)
-        return withRetry (makeProblem (ErrorKind::noReplica, "no configuration yet"), freshnessRetry);
+        return withRetry (makeProblem (ErrorKind::noReplica, "no configuration yet"), freshnessRetryDelay);
 
     request.route = findRoute (*request.configuration, caller.host, caller.path);
 
     if (request.route == nullptr)
         return makeProblem (ErrorKind::notFound);
 
-    auto account = accountOf (state, caller, *request.route, now);
+    auto account = authenticate (state, caller, *request.route, now);
 
     if (auto* refusal = std::get_if<Problem> (&account))
         return std::move (*refusal);
@@ -203,12 +218,12 @@
         return std::move (*refusal);
 
     if (request.account)
-        if (auto refusal = checkQuota (state, caller, *request.account, isAskedAgain, now))
+        if (auto refusal = checkQuota (state, caller, *request.account, isSecondCheck, now))
             return std::move (*refusal);
 
-    const auto patience = caller.patience.value_or (request.route->timeout);
-    request.end = arrived + std::min (patience, request.route->timeout);
-    request.service = pickService (*request.route, drawJitter());
+    const auto timeLimit = caller.timeLimit.value_or (request.route->timeout);
+    request.deadline = arrived + std::min (timeLimit, request.route->timeout);
+    request.service = pickService (*request.route, randomFraction());
     request.caller = std::move (caller);
     return request;
 }
@@ -219,7 +234,7 @@
     state.counts.requests.add();
 
     if (state.leaving)
-        exchange.closeAfter();
+        exchange.closeAfterResponse();
 
     if (const auto* problem = std::get_if<Problem> (&read))
     {
@@ -234,15 +249,15 @@
     co_await waitForStart (state, caller, arrived);
 
     auto now = SteadyClock::now();
-    auto isAskedAgain = false;
-    auto admitted = admit (state, caller, arrived, isAskedAgain, now);
+    auto isSecondCheck = false;
+    auto admitted = admit (state, caller, arrived, isSecondCheck, now);
 
-    if (isOverLimit (admitted) && ! knowsLimits (state))
+    if (isOverLimit (admitted) && ! hasSettledLimits (state))
     {
         co_await waitForLimits (state, caller, arrived);
         now = SteadyClock::now();
-        isAskedAgain = true;
-        admitted = admit (state, caller, arrived, isAskedAgain, now);
+        isSecondCheck = true;
+        admitted = admit (state, caller, arrived, isSecondCheck, now);
     }
 
     if (const auto* refusal = std::get_if<Problem> (&admitted))
@@ -252,8 +267,8 @@
         co_return;
     }
 
-    RoutedRun run (state, exchange, std::get<RoutedRequest> (std::move (admitted)));
-    co_await run.run();
+    RoutedRequestRunner runner (state, exchange, std::get<RoutedRequest> (std::move (admitted)));
+    co_await runner.run();
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/limits/QuotaSharing.cpp
+++ b/modules/snowrudder_serving/limits/QuotaSharing.cpp
@@ -8,44 +8,46 @@
 namespace
 {
 
-/** Until the store has listed the members, a node may be any of a large fleet that all start now. */
-constexpr auto membersUnlisted = std::size_t { 100 };
+/** Member count assumed until the store lists the members: any number of nodes of a large fleet may be starting
+    together.
+*/
+constexpr auto assumedMemberCount = std::size_t { 100 };
 
-/** Nodes that start together have listed each other after two lists, 2 s apart at most, and a stale one. */
-constexpr auto newNodeTime = Duration (3s);
+/** Nodes that start together list each other after two member lists, at most 2 s apart, plus one stale list. */
+constexpr auto startUpTime = Duration (3s);
 
-/** Of the other nodes, the part that a node must hear to know well enough what they admit: some may be gone for longer. */
-constexpr auto nearlyAll = 0.9;
+/** Fraction of the other nodes whose reports make this node settled. Less than all, since some nodes may stay down. */
+constexpr auto settledPeerShare = 0.9;
 
 auto countMembers (const QuotaSharing& sharing) -> std::size_t
 {
-    return std::max<std::size_t> (sharing.members.value_or (membersUnlisted), 1);
+    return std::max<std::size_t> (sharing.members.value_or (assumedMemberCount), 1);
 }
 
-auto hearsNearlyAll (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
+auto receivesFromNearlyAll (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
 {
     const auto others = static_cast<double> (countMembers (sharing) - 1);
-    return sharing.members && static_cast<double> (peers.countHeard (now)) >= nearlyAll * others;
+    return sharing.members && static_cast<double> (peers.countRecentNodes (now)) >= settledPeerShare * others;
 }
 
 } // namespace
 
-auto isNewNode (const QuotaSharing& sharing, TimePoint now) -> bool
+auto isRecentlyStarted (const QuotaSharing& sharing, TimePoint now) -> bool
 {
-    return now - sharing.startTime < newNodeTime;
+    return now - sharing.startTime < startUpTime;
 }
 
 auto quotaShare (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> double
 {
     const auto members = countMembers (sharing);
-    return 2 * peers.countHeard (now) >= members - 1 ? 1.0 : 1.0 / static_cast<double> (members);
+    return 2 * peers.countRecentNodes (now) >= members - 1 ? 1.0 : 1.0 / static_cast<double> (members);
 }
 
-auto unsettledTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration
+auto remainingSettlingTime (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> Duration
 {
     const auto left = sharing.startTime + reportDelay (countMembers (sharing)) - now;
 
-    if (left <= Duration::zero() || sharing.isAdopted || hearsNearlyAll (sharing, peers, now))
+    if (left <= Duration::zero() || sharing.hasAdoptedLevels || receivesFromNearlyAll (sharing, peers, now))
         return Duration::zero();
 
     return left;
@@ -53,7 +55,7 @@
 
 auto isSettled (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> bool
 {
-    return unsettledTime (sharing, peers, now) == Duration::zero();
+    return remainingSettlingTime (sharing, peers, now) == Duration::zero();
 }
 
 auto quotaBounds (const QuotaSharing& sharing,
@@ -67,24 +69,24 @@
     QuotaBounds bounds;
     bounds.tolerance = tolerance;
     bounds.share = quotaShare (sharing, peers, now);
-    bounds.evenShare = 1.0 / static_cast<double> (members);
+    bounds.equalShare = 1.0 / static_cast<double> (members);
     bounds.reportDelay = delay;
-    bounds.unsettled = unsettledTime (sharing, peers, now);
+    bounds.unsettled = remainingSettlingTime (sharing, peers, now);
     bounds.draw = draw;
-    bounds.knownSince = sharing.startTime + delay;
+    bounds.admissionsKnownSince = sharing.startTime + delay;
     return bounds;
 }
 
-auto askedOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
+auto demandOfOthers (const QuotaSharing& sharing, const PeerTable& peers, TimePoint now) -> AccountAmounts
 {
-    auto asked = peers.asked (now);
-    const auto heard = std::max<std::size_t> (peers.countHeard (now), 1);
-    const auto others = std::max (countMembers (sharing), heard + 1) - 1;
+    auto demand = peers.requestedRates (now);
+    const auto reporting = std::max<std::size_t> (peers.countRecentNodes (now), 1);
+    const auto others = std::max (countMembers (sharing), reporting + 1) - 1;
 
-    for (auto& [account, tokensPerSecond] : asked)
-        tokensPerSecond *= static_cast<double> (others) / static_cast<double> (heard);
+    for (auto& [account, tokensPerSecond] : demand)
+        tokensPerSecond *= static_cast<double> (others) / static_cast<double> (reporting);
 
-    return asked;
+    return demand;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/Membership.cpp
+++ b/modules/snowrudder_serving/members/Membership.cpp
@@ -10,15 +10,17 @@
 namespace
 {
 
-/** A member's entry goes this long after its node died. */
+/** The lease of a member's entry: the entry expires this long after its node's last renewal. */
 constexpr auto memberLease = Duration (12s);
 constexpr auto renewInterval = Duration (4s);
 
-/** The members are listed this often. A list that may be seconds old does: nodes that are not heard don't count. */
+/** How often the members are listed. A list that may be seconds old suffices, since nodes without recent reports aren't
+    counted.
+*/
 constexpr auto listInterval = 2s;
 
-/** A node that has just started lists them more often: until it knows who reads the store for it, it asks some three times a
-    second itself, and nodes that start together find each other late.
+/** How often a node that has just started lists the members. Until it knows its readers it queries the store itself,
+    some three times a second, and nodes that start together discover each other late.
 */
 constexpr auto firstListInterval = 400ms;
 constexpr auto failurePause = 1s;
@@ -37,15 +39,15 @@
 {
 }
 
-auto Membership::lookForOthers() -> Task<void>
+auto Membership::listOthersIfNone() -> Task<void>
 {
     if (! endpointsOfOthers.empty())
         co_return;
 
-    const auto listed = co_await store.list (std::string (memberPrefix), ReadAge::newest);
+    const auto listed = co_await store.list (std::string (memberPrefix), ReadFreshness::newest);
 
     if (listed.outcome == StoreOutcome::done)
-        takeMembers (listed.items);
+        applyMembers (listed.items);
 }
 
 auto Membership::leave() -> Task<void>
@@ -58,9 +60,9 @@
 {
     for (;;)
     {
-        const auto isInTouch = co_await refresh();
+        const auto isStoreReachable = co_await refresh();
 
-        if (! isInTouch)
+        if (! isStoreReachable)
             co_await pauseFor (state.loop, jittered (failurePause));
     }
 }
@@ -68,7 +70,7 @@
 auto Membership::refresh() -> Task<bool>
 {
     if (state.fleetSecret.empty())
-        co_await readShared();
+        co_await readSharedKeys();
 
     if (state.fleetSecret.empty())
         co_await agreeOnSecret();
@@ -79,34 +81,35 @@
     if (! state.leaving)
         co_await joinMembers();
 
-    if (! mustListMembers (state.news, SteadyClock::now()))
+    if (! mustListMembers (state.storeUpdates, SteadyClock::now()))
     {
         co_await pauseFor (state.loop, listPause());
         co_return true;
     }
 
-    const auto listed = co_await store.list (std::string (memberPrefix), ReadAge::secondsOld);
+    const auto listed = co_await store.list (std::string (memberPrefix), ReadFreshness::secondsOld);
 
     if (listed.outcome != StoreOutcome::done)
         co_return false;
 
-    takeMembers (listed.items);
+    applyMembers (listed.items);
     co_await pauseFor (state.loop, listPause());
     co_return true;
 }
 
 auto Membership::listPause() const -> Duration
 {
-    const auto isNew = isNewNode (state.sharing, SteadyClock::now());
+    const auto isNew = isRecentlyStarted (state.sharing, SteadyClock::now());
     return jittered (isNew ? Duration (firstListInterval) : Duration (listInterval));
 }
 
-/** Learns by one call, which may tell what was seconds ago, what the other nodes agreed on and who they are: a node that comes
-    back need not write to find the secret. One that finds nobody may only be early: it goes by what it lists once it has joined.
+/** Reads the secret and the members by one call, whose response may be seconds old, so that a restarted node need not
+    write to obtain the secret. A node that finds no members may only be the first to start, and takes them from the
+    list that follows its joining.
 */
-auto Membership::readShared() -> Task<void>
+auto Membership::readSharedKeys() -> Task<void>
 {
-    const auto listed = co_await store.list (std::string (sharedPrefix), ReadAge::secondsOld);
+    const auto listed = co_await store.list (std::string (sharedPrefix), ReadFreshness::secondsOld);
 
     if (listed.outcome != StoreOutcome::done)
         co_return;
@@ -122,33 +125,34 @@
         if (item.key.starts_with (memberPrefix))
             members.push_back (item);
 
-        // A process that died left its entry, which its lease keeps up: renewing that is a twentieth of the price of a new one.
+        // The entry of an earlier process of this node remains until its lease expires. Renewing that lease costs a
+        // twentieth of the price of a new entry.
         if (item.key == own.key && item.value == own.value)
             lease = item.lease;
     }
 
     if (! members.empty())
-        takeMembers (members);
+        applyMembers (members);
 }
 
 auto Membership::ownEntry() const -> StoredItem
 {
     StoredItem item;
     item.key = std::string (memberPrefix) + state.settings.node;
-    item.value = writeMember ({ state.settings.listenPeers, state.settings.failureDomain });
+    item.value = formatMember ({ state.settings.listenPeers, state.settings.failureDomain });
     return item;
 }
 
 auto Membership::agreeOnSecret() -> Task<void>
 {
     const auto proposed = toString (makeUuid (wallTimeNow()));
-    const auto result = co_await store.commit (makeCreation (std::string (secretKey), proposed));
+    const auto result = co_await store.commit (makeCreateTransaction (std::string (secretKey), proposed));
 
     if (result.outcome == StoreOutcome::done)
         state.fleetSecret = proposed;
 
     if (result.outcome == StoreOutcome::refused)
-        if (const auto* first = standingItem (result.items))
+        if (const auto* first = existingItem (result.items))
             state.fleetSecret = first->value;
 }
 
@@ -196,7 +200,7 @@
     LogLine ("membership_joined").with ("lease", lease).info();
 }
 
-auto Membership::takeMembers (const std::vector<StoredItem>& listed) -> void
+auto Membership::applyMembers (const std::vector<StoredItem>& listed) -> void
 {
     std::map<std::string, MemberInfo> members;
     std::map<std::string, Endpoint> endpoints;
@@ -208,7 +212,7 @@
     {
         hash = hashBytes (item.value, hashBytes (item.key, hash));
         const auto name = item.key.substr (memberPrefix.size());
-        auto member = readMember (item.value);
+        auto member = parseMember (item.value);
         const auto endpoint = datagramEndpoint (member.endpoint);
 
         if (name == state.settings.node || ! endpoint)
@@ -221,19 +225,19 @@
     if (members.size() != state.memberCount())
         LogLine ("members_changed").with ("before", state.memberCount()).with ("now", members.size()).info();
 
-    state.news.membersHash = hash;
+    state.storeUpdates.membersHash = hash;
     endpointsOfOthers.clear();
 
     for (const auto& [name, endpoint] : endpoints)
         endpointsOfOthers.push_back (endpoint);
 
     state.sharing.members = members.size();
-    state.retryBudgets.setMostSaved (state.savedRetries());
-    noteReaders (members, endpoints);
+    state.retryBudgets.setMaxSaved (state.maxSavedRetries());
+    updateReaders (members, endpoints);
 }
 
-auto Membership::noteReaders (const std::map<std::string, MemberInfo>& members,
-                              const std::map<std::string, Endpoint>& endpoints) -> void
+auto Membership::updateReaders (const std::map<std::string, MemberInfo>& members,
+                                const std::map<std::string, Endpoint>& endpoints) -> void
 {
     readersOfDomain.clear();
     readersElsewhere.clear();
@@ -254,13 +258,13 @@
             std::ranges::find (readersOfDomain, endpoint) == readersOfDomain.end())
             membersOfDomain.push_back (endpoint);
 
-    if (isReader != state.news.isReader)
+    if (isReader != state.storeUpdates.isReader)
         LogLine (isReader ? "store_reader" : "store_read_by_others")
             .with ("readers", readersOfDomain.size())
             .with ("members", members.size())
             .info();
 
-    state.news.isReader = isReader;
+    state.storeUpdates.isReader = isReader;
 }
 
 } // namespace snowrudder
--- a/modules/snowrudder_serving/members/PeerTable.cpp
+++ b/modules/snowrudder_serving/members/PeerTable.cpp
@@ -9,18 +9,18 @@
 namespace
 {
 
-/** @returns an amount, zero where there is none. */
+/** @returns the amount of a client account, or zero if there is none. */
 auto amountIn (const AccountAmounts& amounts, const std::string& account) -> double
 {
     const auto found = amounts.find (account);
     return found == amounts.end() ? 0.0 : found->second;
 }
 
-/** Adds what was charged for other nodes, and their rates, to what a node tells of itself. */
+/** Adds the tokens charged for other nodes, and their rates, to a node's own figures. */
 auto addTo (AdmittedByAccount& admitted,
             const AccountAmounts& charged,
             const AccountAmounts& perSecond,
-            const AccountAmounts& asked) -> void
+            const AccountAmounts& requestedRates) -> void
 {
     for (const auto& [account, tokens] : charged)
         admitted[account].tokens += tokens;
@@ -28,22 +28,24 @@
     for (const auto& [account, rate] : perSecond)
         admitted[account].tokensPerSecond += rate;
 
-    for (const auto& [account, rate] : asked)
-        admitted[account].askedPerSecond += rate;
+    for (const auto& [account, rate] : requestedRates)
+        admitted[account].requestedPerSecond += rate;
 }
 
-/** A sum less one of its parts may fall below zero by rounding, and by rates of different ages. */
-auto keepAmounts (AdmittedByAccount& admitted) -> void
+/** Raises negative amounts to zero: a sum minus one of its parts may fall below zero by rounding, and because its rates
+    are of different ages.
+*/
+auto clampAmounts (AdmittedByAccount& admitted) -> void
 {
     for (auto& [account, use] : admitted)
     {
         use.tokens = std::max (0.0, use.tokens);
         use.tokensPerSecond = std::max (0.0, use.tokensPerSecond);
-        use.askedPerSecond = std::max (0.0, use.askedPerSecond);
+        use.requestedPerSecond = std::max (0.0, use.requestedPerSecond);
     }
 }
 
-/** Adds one peer's work on a service to a sum; speeds are gathered for their median. */
+/** Adds one peer's work for a service to a sum, and its prompt speed to the values of which the median is taken. */
 auto addWork (ServiceWork& sum, const ServiceWork& more, std::vector<double>& speeds) -> void
 {
     sum.tokensPerSecond += more.tokensPerSecond;
@@ -65,11 +67,11 @@
 
 } // namespace
 
-auto PeerTable::note (PeerReport report, TimePoint now) -> AccountAmounts
+auto PeerTable::record (PeerReport report, TimePoint now) -> AccountAmounts
 {
     AccountAmounts charged;
     auto& peer = peers[report.node];
-    const auto isKnown = peer.heard != TimePoint();
+    const auto isKnown = peer.receivedAt != TimePoint();
     const auto isSameStart = isKnown && report.incarnation == peer.latest.incarnation;
 
     if (isKnown && report.incarnation < peer.latest.incarnation)
@@ -79,19 +81,19 @@
         return charged;
 
     if (! isSameStart)
-        peer.told.clear();
+        peer.reportedTotals.clear();
 
     const auto unknown = std::chrono::duration<double> (std::min (now - knownSince, rateTime)).count();
 
     for (const auto& [account, use] : report.admitted)
     {
-        // A node that is not settled has admitted all that it tells of since about the time at which this one started.
+        // A peer that isn't settled started at about the same time as this node, so its total counts in full.
         if (isKnown || ! report.isSettled)
-            charged[account] = use.tokens - amountIn (peer.told, account);
+            charged[account] = use.tokens - amountIn (peer.reportedTotals, account);
         else if (const auto likely = std::min (use.tokens, use.tokensPerSecond * unknown); likely > 0.0)
             charged[account] = likely;
 
-        peer.told[account] = use.tokens;
+        peer.reportedTotals[account] = use.tokens;
     }
 
     for (const auto& [account, tokens] : peer.assumed)
@@ -99,8 +101,8 @@
 
     peer.assumed.clear();
     peer.latest = std::move (report);
-    peer.heard = now;
-    latestHeard = std::max (latestHeard, now);
+    peer.receivedAt = now;
+    latestReceivedAt = std::max (latestReceivedAt, now);
 
     for (const auto& [account, tokens] : charged)
         addCharge (peer, account, tokens);
@@ -114,13 +116,13 @@
     return found == peers.end() || found->second.latest.incarnation < report.incarnation;
 }
 
-auto PeerTable::assumeSilent (Duration passed, TimePoint now) -> AccountAmounts
+auto PeerTable::chargeSilentPeers (Duration passed, TimePoint now) -> AccountAmounts
 {
     AccountAmounts charged;
 
     for (auto& [name, peer] : peers)
     {
-        const auto silent = now - peer.heard;
+        const auto silent = now - peer.receivedAt;
 
         if (peer.latest.leaving || silent < silentTime || silent > assumedTime)
             continue;
@@ -145,26 +147,26 @@
         for (const auto& [account, tokens] : peer.assumed)
             returned[account] -= tokens;
 
-    knownSince = std::max (knownSince, latestHeard);
+    knownSince = std::max (knownSince, latestReceivedAt);
     peers.clear();
     all = Sum();
     nodes = Sum();
     return returned;
 }
 
-auto PeerTable::asked (TimePoint now) const -> AccountAmounts
+auto PeerTable::requestedRates (TimePoint now) const -> AccountAmounts
 {
     AccountAmounts sum;
 
     for (const auto& [name, peer] : peers)
         if (isRecent (peer, now))
             for (const auto& [account, use] : peer.latest.admitted)
-                sum[account] += use.askedPerSecond;
+                sum[account] += use.requestedPerSecond;
 
     return sum;
 }
 
-auto PeerTable::countHeard (TimePoint now) const -> std::size_t
+auto PeerTable::countRecentNodes (TimePoint now) const -> std::size_t
 {
     auto count = std::size_t { 0 };
 
@@ -193,7 +195,7 @@
     for (auto* sum : { &all, &nodes })
     {
         sum->perSecond.clear();
-        sum->asked.clear();
+        sum->requestedRates.clear();
     }
 
     for (const auto& [name, peer] : peers)
@@ -211,8 +213,8 @@
 auto PeerTable::withNodes (PeerReport own, TimePoint now) const -> PeerReport
 {
     own.scope = ReportScope::nodesOfReader;
-    addTo (own.admitted, nodes.charged, nodes.perSecond, nodes.asked);
-    keepAmounts (own.admitted);
+    addTo (own.admitted, nodes.charged, nodes.perSecond, nodes.requestedRates);
+    clampAmounts (own.admitted);
     std::map<std::string, std::vector<double>, std::less<>> speeds;
 
     for (auto& [service, work] : own.work)
@@ -237,14 +239,14 @@
     return own;
 }
 
-auto PeerTable::withAllBut (PeerReport own, std::string_view asker, TimePoint now) const -> PeerReport
+auto PeerTable::withAllBut (PeerReport own, std::string_view requester, TimePoint now) const -> PeerReport
 {
     own.scope = ReportScope::allOthers;
     own.work.clear();
-    own.nodes = static_cast<std::uint32_t> (countHeard (now) + 1);
-    addTo (own.admitted, all.charged, all.perSecond, all.asked);
+    own.nodes = static_cast<std::uint32_t> (countRecentNodes (now) + 1);
+    addTo (own.admitted, all.charged, all.perSecond, all.requestedRates);
 
-    if (const auto found = peers.find (asker); found != peers.end())
+    if (const auto found = peers.find (requester); found != peers.end())
     {
         const auto& peer = found->second;
         own.nodes -= countedNodes (peer, now);
@@ -255,17 +257,17 @@
         for (const auto& [account, use] : peer.latest.admitted)
         {
             own.admitted[account].tokensPerSecond -= use.tokensPerSecond;
-            own.admitted[account].askedPerSecond -= use.askedPerSecond;
+            own.admitted[account].requestedPerSecond -= use.requestedPerSecond;
         }
     }
 
-    keepAmounts (own.admitted);
+    clampAmounts (own.admitted);
     return own;
 }
 
 auto PeerTable::isRecent (const Peer& peer, TimePoint now) -> bool
 {
-    return now - peer.heard <= heardTime;
+    return now - peer.receivedAt <= recentTime;
 }
 
 auto PeerTable::countedNodes (const Peer& peer, TimePoint now) -> std::uint32_t
@@ -287,7 +289,7 @@
     for (const auto& [account, use] : peer.latest.admitted)
     {
         sum.perSecond[account] += use.tokensPerSecond;
-        sum.asked[account] += use.askedPerSecond;
+        sum.requestedRates[account] += use.requestedPerSecond;
     }
 }
 
