--- a/modules/snowrudder_routing/choice/ChooseReplica.cpp
+++ b/modules/snowrudder_routing/choice/ChooseReplica.cpp
@@ -226,7 +226,7 @@
 /** @returns how many prompt tokens the replica that ranks first is assumed to compute. A prompt's own tokens are shared
     with no other request, so no replica can have them cached.
 */
-auto uncachedAtFirstRanked (const ChoiceInput& input, const ChoiceWeights& weights) -> double
+auto uncachedAtFirst (const ChoiceInput& input, const ChoiceWeights& weights) -> double
 {
     const auto shared = std::max (0.0, input.promptTokens - input.ownTokens);
     return input.promptTokens - shared * weights.assumedCached;
@@ -314,8 +314,7 @@
             candidate.score += weights.longPromptInterference * requestEstimate;
 
         if (ranked.isFirst (candidate.index) && ! input.blocks.empty())
-            candidate.uncachedTokens =
-                std::min (candidate.uncachedTokens, uncachedAtFirstRanked (input, weights));
+            candidate.uncachedTokens = std::min (candidate.uncachedTokens, uncachedAtFirst (input, weights));
 
         candidate.score += weights.recompute * candidate.uncachedTokens;
     }
